--- a/packages/cicadafold-standins/src/cicadafold_standins/memory.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/memory.py
@@ -172,7 +172,7 @@
     def __init__(self, *, kinds, hosts):
         self.kinds = {kind.name: kind for kind in kinds}
         self.targets = {h.address: FakeTarget(host=h) for h in hosts}
-        self.events = events.EventBook(member="m")
+        self.events = events.RequestEvents(member="m")
         self.superseded = []
         self.still_owner = True
         self.quota = 0
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/cell.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/cell.py
@@ -52,8 +52,8 @@
                 self.network, self.address
             ),
         )
-        calls = job_server.CallerCalls(
-            door=node.door,
+        calls = job_server.JobRequestHandler(
+            service=node.door,
             routes=node.routes,
             closing=lambda: not node.ready(),
             metrics=node.metrics,
--- a/packages/cicadafold/src/cicadafold/clock.py
+++ b/packages/cicadafold/src/cicadafold/clock.py
@@ -5,7 +5,7 @@
 __all__ = ["MILLISECONDS", "WorkerClock", "monotonic_ms", "wall_ms"]
 
 MILLISECONDS = 1000
-DRIFT_SHARE = 0.001
+MAX_DRIFT = 0.001
 
 
 def monotonic_ms():
@@ -28,21 +28,21 @@
     Examples:
         >>> clock = WorkerClock()
         >>> clock.update(500, at_ms=1000.0)
-        >>> clock.at_least(at_ms=2000.0)
+        >>> clock.lower_bound_ms(at_ms=2000.0)
         1499.0
     """
 
     def __init__(self):
         self.worker_ms = 0
-        self.seen_ms = None
+        self.updated_ms = None
 
     def update(self, worker_ms, *, at_ms=None):
         """Takes the clock value of an answer that has just arrived."""
         self.worker_ms = worker_ms
-        self.seen_ms = monotonic_ms() if at_ms is None else at_ms
+        self.updated_ms = monotonic_ms() if at_ms is None else at_ms
 
-    def at_least(self, *, at_ms=None):
+    def lower_bound_ms(self, *, at_ms=None):
         """Returns the lower bound in milliseconds."""
         now_ms = monotonic_ms() if at_ms is None else at_ms
-        elapsed_ms = now_ms - self.seen_ms
-        return self.worker_ms + elapsed_ms * (1 - DRIFT_SHARE)
+        elapsed_ms = now_ms - self.updated_ms
+        return self.worker_ms + elapsed_ms * (1 - MAX_DRIFT)
--- a/packages/cicadafold/src/cicadafold/daemon/cell_main.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_main.py
@@ -13,8 +13,8 @@
 from cicadafold.peers import scheduler_link
 from cicadafold.platform import boot
 from cicadafold.platform import job_server
-from cicadafold.telemetry import bounded
 from cicadafold.telemetry import logs
+from cicadafold.telemetry import rate_limited
 
 __all__ = ["CellService", "main"]
 
@@ -72,8 +72,8 @@
     async def serve(self, node):
         """Opens all addresses of the settings."""
         settings = self.settings
-        calls = job_server.CallerCalls(
-            door=node.door,
+        calls = job_server.JobRequestHandler(
+            service=node.door,
             routes=node.routes,
             closing=lambda: not node.ready(),
             metrics=node.metrics,
@@ -127,7 +127,9 @@
     settings = result.ok
     logs.configure(
         member=settings.member,
-        handler=bounded.BoundedHandler(descriptor=sys.stdout.fileno()),
+        handler=rate_limited.RateLimitedHandler(
+            descriptor=sys.stdout.fileno()
+        ),
     )
     gc.set_threshold(GC_THRESHOLD)
     uvloop.install()
--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -19,10 +19,10 @@
 from cicadafold.peers import peer_calls
 from cicadafold.peers import roster
 from cicadafold.peers import scheduler_link
-from cicadafold.platform import advice_calls
+from cicadafold.platform import advice_client
 from cicadafold.platform import log_store
 from cicadafold.platform import registry
-from cicadafold.platform import worker_calls
+from cicadafold.platform import worker_client
 from cicadafold.telemetry import logs
 from cicadafold.telemetry import metrics
 
@@ -73,7 +73,7 @@
             session=self.peer_session,
             member=self.member,
             address=settings.peer_address,
-            strength=settings.strength,
+            strength=settings.election_priority,
             owner=self,
         )
         self.ask = asking.SchedulerAsker(
@@ -104,20 +104,20 @@
             health=self.ask.health,
             scheduler_gone=lambda: self.scheduler.refused,
             ask_strong=self.roster.ask_strong,
-            strength=settings.strength,
+            strength=settings.election_priority,
         )
         self.writer = accepting.AcceptWriter(
             store=self.store,
             first_partition=sum(settings.member.encode()),
             metrics=self.metrics,
         )
-        self.advice = advice_calls.AdviceCalls(
+        self.advice = advice_client.AdviceClient(
             session=self.peer_session, address=settings.advice_address
         )
         self.own_line = advising.AdviceLine(
             member=self.member,
             ask=self.advice.advise,
-            strength=settings.strength,
+            strength=settings.election_priority,
         )
         self.door = door.JobDoor(
             writer=self.writer,
@@ -184,7 +184,7 @@
             longest_lease_ms=settings.longest_lease_ms,
             status_s=settings.status_s,
             uses_advice=bool(settings.advice_address),
-            strength=settings.strength,
+            strength=settings.election_priority,
             metrics=self.metrics,
         )
         self.term = term
@@ -200,7 +200,7 @@
 
     def make_calls(self, report, fence):
         """Returns the client of a worker."""
-        return worker_calls.WorkerCalls(
+        return worker_client.WorkerClient(
             session=self.worker_session,
             address=report.address,
             worker=report.id,
--- a/packages/cicadafold/src/cicadafold/daemon/node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/node.py
@@ -62,7 +62,7 @@
         self.failure_domain = settings["member.failure_domain"]
         self.incarnation = uuid.uuid4().hex[:8]
         self.metrics = metrics.Metrics()
-        self.events = events.EventBook(member=self.name)
+        self.events = events.RequestEvents(member=self.name)
         self.burn = burn.BurnBook()
         self.stop_requested = asyncio.Event()
         self.kinds_revision = -1
@@ -94,14 +94,14 @@
         """Creates the parts; nothing runs yet."""
         settings = self.settings
         adapter = settings["platform.adapter"]
-        stream = interfaces.create(
+        stream = interfaces.create_adapter(
             "log",
             adapter,
             session=self.session,
             address=self.resolve(settings["platform.log"]),
             stream=settings["platform.stream"],
         )
-        source = interfaces.create(
+        source = interfaces.create_adapter(
             "hosts",
             adapter,
             session=self.session,
@@ -302,7 +302,7 @@
 
     def target_client(self, address):
         """Returns the client of a worker."""
-        return interfaces.create(
+        return interfaces.create_adapter(
             "target",
             self.settings["platform.adapter"],
             session=self.target_session,
@@ -320,7 +320,7 @@
             rack=owner.name, term=owner.term, hosts=hosts
         )
         if await self.append_and_fold(record):
-            owner.update_hosts(self.hosts.of_rack(owner.name))
+            owner.update_hosts(self.hosts.hosts_in_rack(owner.name))
 
     async def append_and_fold(self, record):
         """Appends a record and waits a while until it is folded here.
@@ -393,7 +393,7 @@
         """Whether a connection to some worker of a rack opens."""
         probes = [
             self.opens(self.resolve(host.address))
-            for host in self.hosts.of_rack(rack)
+            for host in self.hosts.hosts_in_rack(rack)
         ]
         return any(await asyncio.gather(*probes))
 
--- a/packages/cicadafold/src/cicadafold/dispatch/inheritance.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/inheritance.py
@@ -128,7 +128,7 @@
 
     def open(self, pool, now_ms):
         """Whether a worker of a pool has not been accounted for."""
-        outage_ms = now_ms - self.store.failed_ms
+        outage_ms = now_ms - self.store.last_failed_ms
         if outage_ms < REGISTRY_BACK_MS and not self.recorded:
             return True
         return any(
--- a/packages/cicadafold/src/cicadafold/dispatch/placing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/placing.py
@@ -5,7 +5,7 @@
 from cicadafold import clock
 from cicadafold.dispatch import runs
 from cicadafold.dispatch import ticketing
-from cicadafold.platform import worker_calls
+from cicadafold.platform import worker_client
 from cicadafold.scheduling import estimates
 from cicadafold.scheduling import placement
 from cicadafold.scheduling import ranking
@@ -33,7 +33,7 @@
 
 
 LOG = logs.get_logger("placing")
-Result = worker_calls.StartResult
+Result = worker_client.CommandResult
 
 
 class Placer:
@@ -330,7 +330,7 @@
             # Placed before a stall of this process; nothing was sent.
             link.events.vanished(worker, run, "stalled")
             return
-        order = worker_calls.StartOrder(
+        order = worker_client.StartCommand(
             name=task.name,
             attempt=run.attempt,
             payload=task.step.job.spec.payload,
@@ -341,11 +341,11 @@
             ticket=ticket,
         )
         result = await link.start(run, order)
-        if result is Result.NO_TICKET:
+        if result is Result.INVALID_TICKET:
             task.step.tickets.pop(worker.report.id, None)
         elif result is Result.UNHEALTHY:
             worker.quarantined_until_ms = clock.monotonic_ms() + MILLISECONDS
-        if result is not Result.TAKEN and task.step.spec.gang:
+        if result is not Result.ACCEPTED and task.step.spec.gang:
             link.events.stop_attempt(task.step, run.attempt)
         self.wake()
 
--- a/packages/cicadafold/src/cicadafold/dispatch/runs.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/runs.py
@@ -226,7 +226,7 @@
 
     def lease_until(self, lease_ms, now_ms):
         """Returns the end of a lease that begins now, by its clock."""
-        until = int(self.clock.at_least(at_ms=now_ms) + lease_ms)
+        until = int(self.clock.lower_bound_ms(at_ms=now_ms) + lease_ms)
         self.deadline_ms = max(self.deadline_ms, until)
         return until
 
@@ -239,10 +239,12 @@
         """
         if self.silent_since_ms is None:
             self.silent_since_ms = now_ms
-        if self.clock.seen_ms is None:
+        if self.clock.updated_ms is None:
             left_ms = longest_ms - (now_ms - self.begun_ms)
         else:
-            left_ms = self.deadline_ms - self.clock.at_least(at_ms=now_ms)
+            left_ms = self.deadline_ms - self.clock.lower_bound_ms(
+                at_ms=now_ms
+            )
         if self.lapse_at_ms is None:
             self.lapse_at_ms = (
                 now_ms + max(0.0, left_ms) * SLOW_CLOCK + LAPSE_MARGIN_MS
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
@@ -15,7 +15,7 @@
 from cicadafold.jobs import model
 from cicadafold.jobs import run_state
 from cicadafold.journal import records
-from cicadafold.platform import worker_calls
+from cicadafold.platform import worker_client
 
 State = runs.RunState
 
@@ -24,7 +24,7 @@
     """A worker that answers what the test says."""
 
     def __init__(self):
-        self.inventory = worker_calls.Inventory(1000, 1, [], [])
+        self.inventory = worker_client.Inventory(1000, 1, [], [])
         self.deadlines = []
         self.acknowledged = []
         self.silent = False
@@ -145,7 +145,7 @@
     end = model.End(
         1, job.steps[0][0].tasks[0].name, 1, model.EndKind.DONE, ""
     )
-    link.calls.inventory = worker_calls.Inventory(1000, 1, [], [end])
+    link.calls.inventory = worker_client.Inventory(1000, 1, [], [end])
     asyncio.run(link.renew(wait=True))
     asyncio.run(link.renew(wait=True))
     assert link.events.ends == [1]
@@ -162,7 +162,7 @@
     doubtful = add_run(link, job, State.DOUBTFUL)
     doubtful.uncertain = True
     running = add_run(link, job, State.RUNNING, 1)
-    link.calls.inventory = worker_calls.Inventory(5, 2, [], [])
+    link.calls.inventory = worker_client.Inventory(5, 2, [], [])
     asyncio.run(link.renew(wait=True))
     assert link.events.gone == [(running, "reborn")]
     assert doubtful.key in link.worker.runs
@@ -178,7 +178,7 @@
     gone = add_run(link, job, State.STOPPING, 1)
     gone.uncertain = True
     link.worker.remove(gone)
-    link.calls.inventory = worker_calls.Inventory(5, 2, [], [])
+    link.calls.inventory = worker_client.Inventory(5, 2, [], [])
     asyncio.run(link.renew(wait=True))
     assert link.events.gone == []
     states = {run.state for run in link.worker.runs.values()}
@@ -278,7 +278,7 @@
     first, second = job.steps[0][0].tasks
     held = inheritance.Inheritance(
         workers={"w": link.worker},
-        store=types.SimpleNamespace(failed_ms=-1e12),
+        store=types.SimpleNamespace(last_failed_ms=-1e12),
         begun_ms=now_ms,
         lease_ms=6000.0,
     )
@@ -304,7 +304,7 @@
     now_ms = clock.monotonic_ms()
     held = inheritance.Inheritance(
         workers={"w": link.worker},
-        store=types.SimpleNamespace(failed_ms=-1e12),
+        store=types.SimpleNamespace(last_failed_ms=-1e12),
         begun_ms=now_ms,
         lease_ms=6000.0,
     )
@@ -318,7 +318,7 @@
     """A worker that never answered this term has no list of its own."""
     held = inheritance.Inheritance(
         workers={"w": link.worker},
-        store=types.SimpleNamespace(failed_ms=-1e12),
+        store=types.SimpleNamespace(last_failed_ms=-1e12),
         begun_ms=clock.monotonic_ms(),
         lease_ms=6000.0,
     )
@@ -333,7 +333,7 @@
         model.End(number, name, number, model.EndKind.DONE, "")
         for number in (1, 2, 3)
     ]
-    link.calls.inventory = worker_calls.Inventory(1000, 1, [], found)
+    link.calls.inventory = worker_client.Inventory(1000, 1, [], found)
     link.events.deferred = {2}
     asyncio.run(link.renew(wait=False))
     assert link.events.ends == [1]
@@ -362,7 +362,7 @@
     """Its worker may have started anew and ended other tasks meanwhile."""
     asyncio.run(link.renew(wait=True))
     link.worker.acknowledged = 5
-    link.worker.clock.seen_ms -= 1000.0
+    link.worker.clock.updated_ms -= 1000.0
     for _ in range(2):
         asyncio.run(link.renew(wait=True))
     assert link.calls.acknowledged == [0, 0, 5]
@@ -381,6 +381,6 @@
     sent_ms = clock.monotonic_ms()
     run.answered_ms = sent_ms + answered_ms
     rows = [model.TaskRow(run.name, 1, "", 10.0, 0.0)] if listed else []
-    link.on_inventory(worker_calls.Inventory(1000, 2, rows, []), sent_ms)
+    link.on_inventory(worker_client.Inventory(1000, 2, rows, []), sent_ms)
     assert (run.key in link.worker.runs) is kept
     assert link.events.gone == ([] if kept else [(run, "reborn")])
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_table.py
@@ -50,7 +50,7 @@
     )
     table.inheritance = inheritance.Inheritance(
         workers=table.workers,
-        store=types.SimpleNamespace(failed_ms=-1e12),
+        store=types.SimpleNamespace(last_failed_ms=-1e12),
         begun_ms=now_ms,
         lease_ms=3600.0,
     )
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -5,12 +5,12 @@
 from cicadafold import clock
 from cicadafold.dispatch import runs
 from cicadafold import exception
-from cicadafold.platform import worker_calls
+from cicadafold.platform import worker_client
 from cicadafold.telemetry import logs
 
 __all__ = ["LeaseTimes", "WorkerLink"]
 
-Result = worker_calls.StartResult
+Result = worker_client.CommandResult
 State = runs.RunState
 
 MILLISECONDS = 1000.0
@@ -127,7 +127,7 @@
         born_ms = worker.born_ms
         # A silent worker's lease is not extended: calls that are lost on
         # the way back must not move the time at which it has lapsed.
-        if wait and worker.clock.seen_ms is not None:
+        if wait and worker.clock.updated_ms is not None:
             wait_ms = 0 if worker.unrecorded else RENEW_WAIT_MS
             deadline_ms = worker.lease_until(self.lease.lease_ms, sent_ms)
         acknowledged = self.number_to_send(sent_ms) if wait else 0
@@ -154,7 +154,7 @@
         worker = self.worker
         if worker.acknowledged <= self.confirmed:
             return 0
-        if now_ms - worker.clock.seen_ms > FRESH_MS:
+        if now_ms - worker.clock.updated_ms > FRESH_MS:
             return 0
         return worker.acknowledged
 
@@ -335,7 +335,7 @@
             self.on_lost_order(run, error)
             return None
         now_ms = clock.monotonic_ms()
-        if result is Result.TAKEN:
+        if result is Result.ACCEPTED:
             if run.state is State.STARTING:
                 run.state = State.RUNNING
             run.answered_ms = now_ms
@@ -396,7 +396,7 @@
         if result is Result.FENCED:
             self.events.fenced(self.worker)
             return True
-        if result is not Result.TAKEN and result is not Result.SUPERSEDED:
+        if result is not Result.ACCEPTED and result is not Result.SUPERSEDED:
             return False
         run.stopped_ms = clock.monotonic_ms()
         run.state = State.STOPPING
--- a/packages/cicadafold/src/cicadafold/election/campaign.py
+++ b/packages/cicadafold/src/cicadafold/election/campaign.py
@@ -171,7 +171,7 @@
             generation=self.generation,
         )
         self.generation = found.generation
-        leads = (TOPIC, LEADING_PARTITION) in found.held
+        leads = (TOPIC, LEADING_PARTITION) in found.assigned
         if leads != self.leads:
             LOG.info(
                 "The group names this process the next scheduler."
@@ -200,7 +200,7 @@
         health = await self.health(timeout_s=HEALTH_TIMEOUT_S)
         if health is messages.Health.UNWELL:
             # After an outage the scheduler needs a moment, as we did.
-            served_ms = clock.monotonic_ms() - self.store.failed_ms
+            served_ms = clock.monotonic_ms() - self.store.last_failed_ms
             return served_ms < UNWELL_GRACE_MS
         return health is messages.Health.WELL
 
--- a/packages/cicadafold/src/cicadafold/election/terms.py
+++ b/packages/cicadafold/src/cicadafold/election/terms.py
@@ -146,7 +146,7 @@
         done = await store.append(
             CONTROL_TOPIC, PARTITION, [(KEY, body)], at=at
         )
-    except (exception.LogMoved, exception.LinkLost) as error:
+    except (exception.LogEndMoved, exception.LinkLost) as error:
         LOG.info("The claim was not confirmed: %s", error)
         return None
     return done.offset + 1
--- a/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
+++ b/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
@@ -34,12 +34,12 @@
     async def append(self, topic, partition, entries, *, at=None):
         """Appends if the partition still ends there."""
         if at is not None and at != len(self.entries):
-            raise exception.LogMoved(end=len(self.entries))
+            raise exception.LogEndMoved(end=len(self.entries))
         offset = len(self.entries)
         self.entries.extend(entries)
         if self.lose_answers:
             raise exception.LinkLost(message="Lost.", remedy="")
-        return log_store.Appended(offset, len(self.entries))
+        return log_store.AppendResult(offset, len(self.entries))
 
 
 def claim_entry(member):
@@ -151,7 +151,7 @@
             return health
 
         made = campaign.Campaign(
-            store=types.SimpleNamespace(failed_ms=-1e12),
+            store=types.SimpleNamespace(last_failed_ms=-1e12),
             claims=tail,
             member="me",
             address="",
--- a/packages/cicadafold/src/cicadafold/exception.py
+++ b/packages/cicadafold/src/cicadafold/exception.py
@@ -17,7 +17,7 @@
     "LinkLost",
     "LinkNotOpen",
     "LogFenced",
-    "LogMoved",
+    "LogEndMoved",
     "LogOutOfSequence",
     "LogTrimmed",
     "LogUnavailable",
@@ -48,7 +48,7 @@
 CLASS_BY_CODE = {}
 
 
-def by_code(cls):
+def register_by_code(cls):
     """Registers an exception class under its error code."""
     CLASS_BY_CODE[cls.code] = cls
     return cls
@@ -83,14 +83,14 @@
         return messages.ErrorReply(outcome=self.outcome, error=error)
 
 
-@by_code
+@register_by_code
 class Internal(CicadafoldError):
     """A fault of this program; the request may have run."""
 
     outcome = Outcome.unknown
 
 
-@by_code
+@register_by_code
 class MalformedCall(CicadafoldError):
     """The body is not what the schema describes."""
 
@@ -98,7 +98,7 @@
     status = 400
 
 
-@by_code
+@register_by_code
 class InvalidCall(CicadafoldError):
     """The call is well formed and makes no sense."""
 
@@ -106,7 +106,7 @@
     status = 422
 
 
-@by_code
+@register_by_code
 class TooLarge(CicadafoldError):
     """The body is over the limit."""
 
@@ -114,7 +114,7 @@
     status = 413
 
 
-@by_code
+@register_by_code
 class Unauthorized(CicadafoldError):
     """No known token came with the call."""
 
@@ -122,7 +122,7 @@
     status = 401
 
 
-@by_code
+@register_by_code
 class Forbidden(CicadafoldError):
     """The token's role may not make this call."""
 
@@ -130,7 +130,7 @@
     status = 403
 
 
-@by_code
+@register_by_code
 class UnknownKind(CicadafoldError):
     """The kind is not in the configuration."""
 
@@ -138,7 +138,7 @@
     status = 404
 
 
-@by_code
+@register_by_code
 class UnknownTeam(CicadafoldError):
     """The team is not in the configuration."""
 
@@ -146,7 +146,7 @@
     status = 404
 
 
-@by_code
+@register_by_code
 class UnknownRequest(CicadafoldError):
     """No record of the request is left."""
 
@@ -155,7 +155,7 @@
     outcome = Outcome.unknown
 
 
-@by_code
+@register_by_code
 class NotFound(CicadafoldError):
     """No call has this path."""
 
@@ -163,7 +163,7 @@
     status = 404
 
 
-@by_code
+@register_by_code
 class RequestConflict(CicadafoldError):
     """The request id is in use for another request."""
 
@@ -171,7 +171,7 @@
     status = 409
 
 
-@by_code
+@register_by_code
 class NeverFits(CicadafoldError):
     """No worker, or no rack for a gang, can ever hold the request."""
 
@@ -179,7 +179,7 @@
     status = 422
 
 
-@by_code
+@register_by_code
 class Overloaded(CicadafoldError):
     """The request would not be done by its deadline."""
 
@@ -187,7 +187,7 @@
     status = 429
 
 
-@by_code
+@register_by_code
 class DeadlineExceeded(CicadafoldError):
     """The deadline passed before the request was started."""
 
@@ -195,7 +195,7 @@
     status = 503
 
 
-@by_code
+@register_by_code
 class LogUnavailable(CicadafoldError):
     """The log service is needed and does not answer."""
 
@@ -203,7 +203,7 @@
     status = 503
 
 
-@by_code
+@register_by_code
 class Starting(CicadafoldError):
     """The entry host has not read the log to its end yet."""
 
@@ -211,7 +211,7 @@
     status = 503
 
 
-@by_code
+@register_by_code
 class Draining(CicadafoldError):
     """The entry host takes no new requests."""
 
@@ -219,7 +219,7 @@
     status = 503
 
 
-@by_code
+@register_by_code
 class RevisionConflict(CicadafoldError):
     """The configuration has changed since the base revision."""
 
@@ -227,7 +227,7 @@
     status = 409
 
 
-@by_code
+@register_by_code
 class TargetFailed(CicadafoldError):
     """The target ran the request and reported a failure."""
 
@@ -236,7 +236,7 @@
     outcome = Outcome.failed
 
 
-@by_code
+@register_by_code
 class OutcomeUnknown(CicadafoldError):
     """The request may have run."""
 
@@ -245,7 +245,7 @@
     outcome = Outcome.unknown
 
 
-@by_code
+@register_by_code
 class RequestCancelled(CicadafoldError):
     """The request was cancelled."""
 
@@ -258,7 +258,7 @@
     """A newer writer has taken the partition over."""
 
 
-class LogMoved(CicadafoldError):
+class LogEndMoved(CicadafoldError):
     """The partition does not end where the append expected it.
 
     Attributes:
--- a/packages/cicadafold/src/cicadafold/hosts.py
+++ b/packages/cicadafold/src/cicadafold/hosts.py
@@ -9,7 +9,7 @@
 from cicadafold.platform import messages as platform
 from cicadafold.telemetry import logs
 
-__all__ = ["HostTable", "RackEntry", "join_hosts"]
+__all__ = ["HostTable", "RackEntry", "merge_hosts"]
 
 PERIOD_S = 1.0
 SLOW_PERIOD_S = 3.0
@@ -66,7 +66,7 @@
         self.racks = {}
         self.version = 0
         self.listed = []
-        self.shown = None
+        self.merged = None
 
     async def run(self):
         """Reads the list each period; owners of racks more often."""
@@ -85,10 +85,10 @@
 
     def rebuild(self):
         """Joins the platform's list and the recorded workers."""
-        hosts = join_hosts(self.listed, self.recorded())
-        if hosts == self.shown:
+        hosts = merge_hosts(self.listed, self.recorded())
+        if hosts == self.merged:
             return
-        self.shown = hosts
+        self.merged = hosts
         self.version += 1
         by_rack = {}
         for host in hosts:
@@ -103,13 +103,13 @@
             for name, found in by_rack.items()
         }
 
-    def of_rack(self, name):
+    def hosts_in_rack(self, name):
         """Returns the workers of a rack."""
         rack = self.racks.get(name)
         return rack.hosts if rack else []
 
 
-def join_hosts(listed, recorded):
+def merge_hosts(listed, recorded):
     """Returns the listed workers, and the recorded ones as leaving.
 
     Args:
--- a/packages/cicadafold/src/cicadafold/journal/accepting.py
+++ b/packages/cicadafold/src/cicadafold/journal/accepting.py
@@ -120,7 +120,7 @@
                 records.JOBS_TOPIC,
                 partition,
                 [pending.entry for pending in batch],
-                timeout_s=min(self.store.patience_s, left_s),
+                timeout_s=min(self.store.append_timeout_s, left_s),
             )
         except exception.LinkLost as error:
             for pending in batch:
--- a/packages/cicadafold/src/cicadafold/journal/tests/test_writers.py
+++ b/packages/cicadafold/src/cicadafold/journal/tests/test_writers.py
@@ -30,7 +30,7 @@
         self.failures = list(failures)
         self.appends = []
         self.reachable = True
-        self.patience_s = 0.5
+        self.append_timeout_s = 0.5
 
     async def append(
         self,
--- a/packages/cicadafold/src/cicadafold/ownership/keeper.py
+++ b/packages/cicadafold/src/cicadafold/ownership/keeper.py
@@ -79,11 +79,11 @@
                 self.start(rack, owner.term)
         hosts = self.node.hosts
         for rack, running in self.owners.items():
-            running.update_hosts(hosts.of_rack(rack))
+            running.update_hosts(hosts.hosts_in_rack(rack))
 
     def start(self, rack, term):
         """Starts to own a rack."""
-        hosts = self.node.hosts.of_rack(rack)
+        hosts = self.node.hosts.hosts_in_rack(rack)
         LOG.info("This member owns %s from term %d.", rack, term)
         owner = rack_owner.RackOwner(
             name=rack, term=term, hosts=hosts, node=self.node
--- a/packages/cicadafold/src/cicadafold/ownership/target_link.py
+++ b/packages/cicadafold/src/cicadafold/ownership/target_link.py
@@ -155,7 +155,7 @@
         )
         task.renewed_ms = 0.0
         task.lease_ms = lease_ms
-        worker_ms = int(self.clock.at_least())
+        worker_ms = int(self.clock.lower_bound_ms())
         task.lease_until_ms = worker_ms + lease_ms + CLOCK_SLACK_MS
         self.capacity.reserve(size)
         self.tasks[task.task_id] = task
@@ -174,7 +174,7 @@
         task = rack_work.RackTask(
             task_id=task_id, link=self, size=size, on_end=on_end
         )
-        worker_ms = self.clock.at_least()
+        worker_ms = self.clock.lower_bound_ms()
         task.start_by_ms = int(worker_ms) + START_BY_MS
         task.lease_ms = lease_ms
         task.lease_until_ms = int(worker_ms) + lease_ms
@@ -311,7 +311,7 @@
         ]
         acknowledged, self.acknowledged = self.acknowledged, []
         lease_ms = max((t.lease_ms for t in asked), default=0)
-        until_ms = int(self.clock.at_least()) + lease_ms
+        until_ms = int(self.clock.lower_bound_ms()) + lease_ms
         request = messages.RenewRequest(
             fence=self.term,
             until_ms=until_ms,
@@ -354,9 +354,9 @@
 
     def lapse_tasks(self):
         """Ends the tasks whose leases have surely lapsed."""
-        if self.clock.seen_ms is None:
+        if self.clock.updated_ms is None:
             return
-        worker_ms = self.clock.at_least()
+        worker_ms = self.clock.lower_bound_ms()
         for task in list(self.tasks.values()):
             if worker_ms > task.lease_until_ms + LAPSE_MARGIN_MS:
                 end_task(task, rack_work.EndReason.LAPSED)
--- a/packages/cicadafold/src/cicadafold/peers/asking.py
+++ b/packages/cicadafold/src/cicadafold/peers/asking.py
@@ -162,7 +162,9 @@
     health = messages.Health.NO_TERM
     if owner.term is not None:
         health = owner.term.health()
-    return messages.HealthReply(query.number, health, owner.store.age_ms)
+    return messages.HealthReply(
+        query.number, health, owner.store.since_served_ms
+    )
 
 
 @link.answer(messages.JobAccepted)
--- a/packages/cicadafold/src/cicadafold/placement/tests/test_routing.py
+++ b/packages/cicadafold/src/cicadafold/placement/tests/test_routing.py
@@ -85,7 +85,7 @@
 
 def test_kind_that_fits_nowhere_near_goes_where_it_fits(made):
     made.hosts.listed[2].cores = 64.0
-    made.hosts.shown = None
+    made.hosts.merged = None
     made.hosts.rebuild()
     kind = memory.make_kind(cores=32)
     assert list(made.candidates("q", "r0", kind, 0)) == ["rack-2"]
--- a/packages/cicadafold/src/cicadafold/platform/advice_calls.py
+++ b/packages/cicadafold/src/cicadafold/platform/advice_client.py
@@ -5,7 +5,7 @@
 
 from cicadafold import exception
 
-__all__ = ["AdviceCalls"]
+__all__ = ["AdviceClient"]
 
 CONNECT_TIMEOUT_S = 0.5
 STATUS_OK = 200
@@ -21,7 +21,7 @@
 decode = msgspec.json.Decoder(WireGrants).decode
 
 
-class AdviceCalls:
+class AdviceClient:
     """Calls to the advice service from this process.
 
     Args:
--- a/packages/cicadafold/src/cicadafold/platform/boot.py
+++ b/packages/cicadafold/src/cicadafold/platform/boot.py
@@ -17,7 +17,7 @@
 MISSING = object()
 
 
-class Field:
+class BootField:
     """One field of the file that this process needs.
 
     Attributes:
@@ -48,9 +48,9 @@
     return not value or table.is_address(value)
 
 
-def address(name, path):
+def address_field(name, path):
     """Returns the field of a required address."""
-    return Field(
+    return BootField(
         name=name,
         path=path,
         type=str,
@@ -59,9 +59,9 @@
     )
 
 
-def number(name, path, default):
+def number_field(name, path, default):
     """Returns the field of a positive number."""
-    return Field(
+    return BootField(
         name=name,
         path=path,
         type=float,
@@ -71,9 +71,9 @@
     )
 
 
-def label(name, path):
+def name_field(name, path):
     """Returns the field of a short name."""
-    return Field(
+    return BootField(
         name=name,
         path=path,
         type=str,
@@ -83,13 +83,13 @@
 
 
 FIELDS = (
-    label("member", "nodeName"),
-    label("domain", "zone"),
-    label("region", "region"),
-    address("caller_address", "listen.front"),
-    address("ready_address", "listen.ready"),
-    address("store_address", "platform.address"),
-    Field(
+    name_field("member", "nodeName"),
+    name_field("domain", "zone"),
+    name_field("region", "region"),
+    address_field("caller_address", "listen.front"),
+    address_field("ready_address", "listen.ready"),
+    address_field("store_address", "platform.address"),
+    BootField(
         name="advice_address",
         path="advice",
         type=str,
@@ -97,13 +97,13 @@
         remedy="Write an IP number and a port, or leave it out.",
         default="",
     ),
-    number("longest_lease_ms", "bounds.holdMaxMs", 6000.0),
-    number("status_s", "bounds.status_s", 120.0),
-    number("member_ttl_ms", "platform.ttlMinMs", 1000.0),
-    number("grace_s", "bounds.graceS", 6.0),
-    number("link_mbps", "limits.linkMbps", 1000.0),
-    number("cores", "limits.cores", 1.0),
-    number("core_share", "limits.cpuShare", 1.0),
+    number_field("longest_lease_ms", "bounds.holdMaxMs", 6000.0),
+    number_field("status_s", "bounds.status_s", 120.0),
+    number_field("member_ttl_ms", "platform.ttlMinMs", 1000.0),
+    number_field("grace_s", "bounds.graceS", 6.0),
+    number_field("link_mbps", "limits.linkMbps", 1000.0),
+    number_field("cores", "limits.cores", 1.0),
+    number_field("core_share", "limits.cpuShare", 1.0),
 )
 
 
@@ -125,9 +125,11 @@
         text = pathlib.Path(path).read_text(encoding="utf-8")
         document = tomllib.loads(text)
     except OSError as error:
-        return check.one_fault(path, error, "Check the path and its rights.")
+        return check.unreadable_file(
+            path, error, "Check the path and its rights."
+        )
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        return check.one_fault(path, error, "Write valid TOML in UTF-8.")
+        return check.unreadable_file(path, error, "Write valid TOML in UTF-8.")
     return check_document(document)
 
 
@@ -144,7 +146,7 @@
             faults.append(fault)
         else:
             values[field.name] = value
-    ports = inner_addresses(document, faults)
+    ports = internal_addresses(document, faults)
     if faults:
         return expression.Error(faults)
     values["cores"] *= values.pop("core_share")
@@ -165,17 +167,19 @@
 def check_field(field, value):
     """Returns the fault of a value, or None."""
     if value is None:
-        return check.Fault(
+        return check.InvalidSetting(
             key=field.path, found="nothing", remedy=field.remedy
         )
     wanted = (int, float) if field.type is float else field.type
     typed = isinstance(value, wanted) and not isinstance(value, bool)
     if typed and field.valid(value):
         return None
-    return check.Fault(key=field.path, found=repr(value), remedy=field.remedy)
+    return check.InvalidSetting(
+        key=field.path, found=repr(value), remedy=field.remedy
+    )
 
 
-def inner_addresses(document, faults):
+def internal_addresses(document, faults):
     """Returns the addresses for peers and metrics on this host's ports."""
     ip = document.get("ip")
     ports = document.get("portRange")
@@ -187,7 +191,7 @@
     )
     if not ranged:
         faults.append(
-            check.Fault(
+            check.InvalidSetting(
                 key="portRange",
                 found=repr(ports),
                 remedy="Write the first and the last of two free ports.",
@@ -195,7 +199,9 @@
         )
     if not isinstance(ip, str) or not table.is_address(f"{ip}:1"):
         faults.append(
-            check.Fault(key="ip", found=repr(ip), remedy="Write an IP number.")
+            check.InvalidSetting(
+                key="ip", found=repr(ip), remedy="Write an IP number."
+            )
         )
     if faults:
         return {}
--- a/packages/cicadafold/src/cicadafold/platform/http_adapters.py
+++ b/packages/cicadafold/src/cicadafold/platform/http_adapters.py
@@ -13,7 +13,7 @@
 APPEND_TIMEOUT_S = 2.0
 CONTROL_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 1.0
-READ_SLACK_S = 1.0
+READ_MARGIN_S = 1.0
 MILLISECONDS = 1000
 STATUS_OK = 200
 STATUS_CONFLICT = 409
@@ -28,7 +28,7 @@
 encode = msgspec.json.Encoder().encode
 
 
-@interfaces.adapter("log", "http")
+@interfaces.register_adapter("log", "http")
 class HttpLogStream:
     """One stream of the log service over HTTP."""
 
@@ -57,7 +57,7 @@
     async def read(self, *, start, wait_ms):
         """Reads entries from an offset on."""
         timeout = aiohttp.ClientTimeout(
-            total=wait_ms / MILLISECONDS + READ_SLACK_S
+            total=wait_ms / MILLISECONDS + READ_MARGIN_S
         )
         parameters = {"from": str(start), "wait_ms": str(wait_ms)}
         try:
@@ -89,7 +89,7 @@
     )
 
 
-@interfaces.adapter("hosts", "http")
+@interfaces.register_adapter("hosts", "http")
 class HttpHostSource:
     """The list of workers over HTTP."""
 
@@ -110,7 +110,7 @@
             ) from error
 
 
-@interfaces.adapter("target", "http")
+@interfaces.register_adapter("target", "http")
 class HttpTargetClient:
     """Calls to one worker over HTTP.
 
--- a/packages/cicadafold/src/cicadafold/platform/interfaces.py
+++ b/packages/cicadafold/src/cicadafold/platform/interfaces.py
@@ -6,12 +6,18 @@
 
 import typing
 
-__all__ = ["HostSource", "LogStream", "TargetClient", "adapter", "create"]
+__all__ = [
+    "HostSource",
+    "LogStream",
+    "TargetClient",
+    "register_adapter",
+    "create_adapter",
+]
 
 ADAPTERS = {}
 
 
-def adapter(interface, name):
+def register_adapter(interface, name):
     """Registers an adapter class for an interface.
 
     Args:
@@ -26,7 +32,7 @@
     return register
 
 
-def create(interface, name, **arguments):
+def create_adapter(interface, name, **arguments):
     """Creates the adapter that the settings name.
 
     Raises:
--- a/packages/cicadafold/src/cicadafold/platform/job_server.py
+++ b/packages/cicadafold/src/cicadafold/platform/job_server.py
@@ -19,7 +19,7 @@
 # Time for the answer to reach the caller before it stops waiting.
 ANSWER_MARGIN_S = 0.15
 # A question about a job is repeated by its caller; it waits no longer.
-QUESTION_TIMEOUT_S = 1.5
+QUERY_TIMEOUT_S = 1.5
 MILLISECONDS = 1000.0
 RETRY_AFTER_S = "1"
 JOB_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
@@ -28,7 +28,7 @@
 LOG = logs.get_logger("caller")
 
 
-class CallerCalls:
+class JobRequestHandler:
     """Handles the calls of callers.
 
     Args:
@@ -38,8 +38,8 @@
         metrics: Where calls are counted.
     """
 
-    def __init__(self, *, door, routes, closing, metrics):
-        self.door = door
+    def __init__(self, *, service, routes, closing, metrics):
+        self.service = service
         self.routes = routes
         self.closing = closing
         self.metrics = metrics
@@ -99,7 +99,7 @@
 
     async def submit(self, request, rule, job):
         """Accepts a job."""
-        deadline_s = deadline_of(request)
+        deadline_s = request_deadline(request)
         limit = self.routes.current.max_body_bytes
         if (request.content_length or 0) > limit:
             raise exception.TooLarge(
@@ -113,7 +113,7 @@
                 remedy="Send a smaller body.",
             )
         try:
-            spec = wire.job_spec(
+            spec = wire.parse_job(
                 body,
                 job=job,
                 rule=rule,
@@ -121,13 +121,13 @@
             )
         except msgspec.MsgspecError as error:
             raise ValueError(str(error)) from error
-        await self.door.submit(spec, deadline_s=deadline_s)
+        await self.service.submit(spec, deadline_s=deadline_s)
         return web.json_response({})
 
     async def state(self, request, rule, job):
         """Tells the state of a job."""
-        found = await self.door.state(
-            job, deadline_s=question_deadline(request)
+        found = await self.service.state(
+            job, deadline_s=query_deadline(request)
         )
         if found is None:
             return web.json_response({"error": "no such job"}, status=410)
@@ -135,19 +135,21 @@
 
     async def cancel(self, request, rule, job):
         """Cancels a job."""
-        if await self.door.cancel(job, deadline_s=deadline_of(request)):
+        if await self.service.cancel(
+            job, deadline_s=request_deadline(request)
+        ):
             return web.json_response({})
         return web.json_response({"error": "no such job"}, status=410)
 
     async def pending(self, request, rule):
         """Tells how many jobs of a queue have not started."""
-        count = await self.door.pending(
-            rule.name, deadline_s=question_deadline(request)
+        count = await self.service.pending(
+            rule.name, deadline_s=query_deadline(request)
         )
         return web.json_response({"pending": count})
 
 
-def deadline_of(request):
+def request_deadline(request):
     """Returns the loop time at which the caller must have its answer."""
     text = request.headers.get(TIMEOUT_HEADER, "")
     try:
@@ -158,10 +160,10 @@
     return loop.time() + max(0.1, timeout_ms / MILLISECONDS - ANSWER_MARGIN_S)
 
 
-def question_deadline(request):
+def query_deadline(request):
     """Returns the loop time at which a question is given up."""
     loop = asyncio.get_running_loop()
-    return min(deadline_of(request), loop.time() + QUESTION_TIMEOUT_S)
+    return min(request_deadline(request), loop.time() + QUERY_TIMEOUT_S)
 
 
 def refusal(error):
--- a/packages/cicadafold/src/cicadafold/platform/log_store.py
+++ b/packages/cicadafold/src/cicadafold/platform/log_store.py
@@ -9,32 +9,38 @@
 
 from cicadafold import clock
 from cicadafold import exception
-from cicadafold.platform import frames
+from cicadafold.platform import record_codec
 
-__all__ = ["Appended", "LogStore", "Membership", "NewestRecord", "ReadPage"]
+__all__ = [
+    "AppendResult",
+    "LogStore",
+    "Membership",
+    "NewestRecord",
+    "ReadPage",
+]
 
 # The store drops a connection whose answer is lost; a healthy answer takes
 # the append time and one round trip, at most a few tens of milliseconds.
 CALL_TIMEOUT_S = 1.5
 CONNECT_TIMEOUT_S = 0.8
-READ_SLACK_S = 1.0
+READ_MARGIN_S = 1.0
 # Time without a served call, while calls fail, after which the store is
 # taken to be out of reach; joins come a few times in it.
-UNREACHABLE_MS = 1000.0
+UNREACHABLE_AFTER_MS = 1000.0
 # Sooner, a scheduler asks its peers whether they are served.
-FAILING_MS = 250.0
+FAILING_AFTER_MS = 250.0
 JOIN_TIMEOUT_S = 0.7
 # Wait for an append: some times the mean of the last ones, within bounds; a
 # healthy one takes some tens of milliseconds, callers wait about 3 s.
-PATIENCE_FACTOR = 4.0
-LEAST_PATIENCE_S = 0.8
-LONGEST_PATIENCE_S = 2.4
-APPEND_RATE = 0.3
+APPEND_TIMEOUT_FACTOR = 4.0
+MIN_APPEND_TIMEOUT_S = 0.8
+MAX_APPEND_TIMEOUT_S = 2.4
+APPEND_MEAN_WEIGHT = 0.3
 MILLISECONDS = 1000
 STATUS_OK = 200
 STATUS_CONFLICT = 409
 STATUS_GONE = 410
-STATUS_MOVED = 412
+STATUS_PRECONDITION_FAILED = 412
 # Refusals after which nothing was done, by the platform's rules.
 STATUS_REFUSED = (400, 403, 429, 503, 507)
 JSON_TYPE = {"Content-Type": "application/json"}
@@ -42,7 +48,7 @@
 TRANSPORT_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
 
-class Appended(msgspec.Struct, frozen=True):
+class AppendResult(msgspec.Struct, frozen=True):
     """Where an append went: offset of the first record, and the end."""
 
     offset: int
@@ -78,7 +84,7 @@
     """
 
     generation: int
-    held: list[tuple[str, int]]
+    assigned: list[tuple[str, int]]
 
 
 class LogStore:
@@ -101,10 +107,10 @@
         self.session = session
         self.base = f"http://{address}/api/"
         self.metrics = metrics
-        self.failed_ms = -1e12
+        self.last_failed_ms = -1e12
         self.failing_since_ms = -1e12
-        self.append_ms = 0.0
-        self.answered_ms = clock.monotonic_ms()
+        self.mean_append_ms = 0.0
+        self.last_served_ms = clock.monotonic_ms()
 
     async def append(
         self,
@@ -132,7 +138,7 @@
             LogUnavailable: Nothing was appended.
             LinkLost: The entries may have been appended, or may be later.
             LogFenced: A writer with a higher epoch has appended.
-            LogMoved: The partition does not end at ``at``.
+            LogEndMoved: The partition does not end at ``at``.
             LogOutOfSequence: The writer's last append was another one.
         """
         query = {"topic": topic, "part": partition}
@@ -146,19 +152,22 @@
                 "POST",
                 "log-append",
                 query=query,
-                data=frames.join_records(
-                    frames.keyed_record(key, value) for key, value in entries
+                data=record_codec.encode_records(
+                    record_codec.encode_keyed_record(key, value)
+                    for key, value in entries
                 ),
-                timeout_s=timeout_s or self.patience_s,
+                timeout_s=timeout_s or self.append_timeout_s,
             )
         finally:
             took_ms = clock.monotonic_ms() - begun_ms
-            self.append_ms += APPEND_RATE * (took_ms - self.append_ms)
+            self.mean_append_ms += APPEND_MEAN_WEIGHT * (
+                took_ms - self.mean_append_ms
+            )
         answer = parse_object(body)
         if status == STATUS_OK:
-            return Appended(answer.get("offset", 0), answer.get("end", 0))
-        if status == STATUS_MOVED:
-            raise exception.LogMoved(end=int(answer.get("end", 0)))
+            return AppendResult(answer.get("offset", 0), answer.get("end", 0))
+        if status == STATUS_PRECONDITION_FAILED:
+            raise exception.LogEndMoved(end=int(answer.get("end", 0)))
         if status == STATUS_CONFLICT and answer.get("reason") == "fenced":
             raise exception.LogFenced(
                 message="A newer writer has appended.",
@@ -178,7 +187,7 @@
         *,
         wait_ms=0,
         max_kb=1024,
-        slack_s=READ_SLACK_S,
+        read_margin_s=READ_MARGIN_S,
     ):
         """Reads records from an offset on.
 
@@ -198,11 +207,13 @@
             "GET",
             "log-read",
             query=query,
-            timeout_s=wait_ms / MILLISECONDS + slack_s,
+            timeout_s=wait_ms / MILLISECONDS + read_margin_s,
         )
         if status == STATUS_OK:
-            end, _, found = frames.split_records(body)
-            return ReadPage(end, [frames.split_keyed(item) for item in found])
+            end, _, found = record_codec.decode_records(body)
+            return ReadPage(
+                end, [record_codec.decode_keyed_record(item) for item in found]
+            )
         if status == STATUS_GONE:
             raise exception.LogTrimmed()
         raise unexpected("read", status)
@@ -300,52 +311,55 @@
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
         ) as error:
-            self.note_failure(name, begun_ms)
+            self.record_failure(name, begun_ms)
             raise unavailable(name, repr(error)) from error
         except TRANSPORT_ERRORS as error:
-            self.note_failure(name, begun_ms)
+            self.record_failure(name, begun_ms)
             raise exception.LinkLost(
                 message=f"The store's answer to {name} was lost: {error!r}.",
                 remedy="Repeat the call; records carry their keys.",
             ) from error
         if status in STATUS_REFUSED:
-            self.note_failure(name, begun_ms)
+            self.record_failure(name, begun_ms)
             raise unavailable(name, f"status {status}")
-        self.answered_ms = clock.monotonic_ms()
+        self.last_served_ms = clock.monotonic_ms()
         return status, body
 
     @property
-    def patience_s(self):
+    def append_timeout_s(self):
         """Seconds to wait for an append.
 
         An append that is given up is executed all the same, and its
         repetition makes a slow store slower; so a slow store is waited for.
         """
-        wanted_s = PATIENCE_FACTOR * self.append_ms / MILLISECONDS
-        return min(LONGEST_PATIENCE_S, max(LEAST_PATIENCE_S, wanted_s))
+        wanted_s = APPEND_TIMEOUT_FACTOR * self.mean_append_ms / MILLISECONDS
+        return min(MAX_APPEND_TIMEOUT_S, max(MIN_APPEND_TIMEOUT_S, wanted_s))
 
     @property
-    def age_ms(self):
+    def since_served_ms(self):
         """Time since the last served call, in milliseconds."""
-        return clock.monotonic_ms() - self.answered_ms
+        return clock.monotonic_ms() - self.last_served_ms
 
     @property
     def failing(self):
         """Whether the last call failed and none was served for a while."""
-        return self.failed_ms > self.answered_ms and self.age_ms > FAILING_MS
+        return (
+            self.last_failed_ms > self.last_served_ms
+            and self.since_served_ms > FAILING_AFTER_MS
+        )
 
     @property
     def reachable(self):
         """Whether the store serves this process, as far as known."""
-        if self.failed_ms < self.answered_ms:
+        if self.last_failed_ms < self.last_served_ms:
             return True
-        return self.age_ms < UNREACHABLE_MS
+        return self.since_served_ms < UNREACHABLE_AFTER_MS
 
-    def note_failure(self, name, begun_ms):
+    def record_failure(self, name, begun_ms):
         """Notes that the store did not do what was asked."""
-        if self.failed_ms < self.answered_ms:
+        if self.last_failed_ms < self.last_served_ms:
             self.failing_since_ms = begun_ms
-        self.failed_ms = clock.monotonic_ms()
+        self.last_failed_ms = clock.monotonic_ms()
         self.metrics.count("store_failures", call=name)
 
 
--- a/packages/cicadafold/src/cicadafold/platform/frames.py
+++ b/packages/cicadafold/src/cicadafold/platform/record_codec.py
@@ -2,13 +2,18 @@
 
 import struct
 
-__all__ = ["join_records", "keyed_record", "split_keyed", "split_records"]
+__all__ = [
+    "encode_records",
+    "encode_keyed_record",
+    "decode_keyed_record",
+    "decode_records",
+]
 
 LENGTH = struct.Struct(">I")
 BOUNDS = struct.Struct(">QQ")
 
 
-def join_records(records):
+def encode_records(records):
     """Returns the body of an append.
 
     Examples:
@@ -22,7 +27,7 @@
     return b"".join(parts)
 
 
-def split_records(body):
+def decode_records(body):
     """Splits the body of a read.
 
     Args:
@@ -45,7 +50,7 @@
     return end, first, records
 
 
-def keyed_record(key, value=b""):
+def encode_keyed_record(key, value=b""):
     """Returns a record of a keyed topic; no value drops the key.
 
     Examples:
@@ -56,7 +61,7 @@
     return bytes((len(name),)) + name + value
 
 
-def split_keyed(record):
+def decode_keyed_record(record):
     """Splits a record of a keyed topic into key and value.
 
     Examples:
--- a/packages/cicadafold/src/cicadafold/platform/registry.py
+++ b/packages/cicadafold/src/cicadafold/platform/registry.py
@@ -14,12 +14,12 @@
 CONFIGURATION_KEY = "config"
 # Soon notices a store that has fallen silent; an answer takes some tens of
 # milliseconds.
-READ_SLACK_S = 0.4
+READ_MARGIN_S = 0.4
 
 LOG = logs.get_logger("registry")
 
 
-class KeyedTail:
+class KeyedTopicTail:
     """Reads a keyed topic: newest records first, then what follows.
 
     Args:
@@ -46,7 +46,7 @@
                     PARTITION,
                     self.offset,
                     wait_ms=wait_ms,
-                    slack_s=READ_SLACK_S,
+                    read_margin_s=READ_MARGIN_S,
                 )
             except exception.LogTrimmed:
                 LOG.warning(
@@ -68,7 +68,7 @@
     """
 
     def __init__(self, *, store):
-        self.tail = KeyedTail(store=store, topic=REGISTRY_TOPIC)
+        self.tail = KeyedTopicTail(store=store, topic=REGISTRY_TOPIC)
         self.known = {}
 
     async def changes(self):
@@ -80,7 +80,7 @@
         values, whole = await self.tail.changes()
         changed = {}
         for name, value in values.items():
-            report = wire.host_report(name, value) if value else None
+            report = wire.parse_host_report(name, value) if value else None
             if value and report is None:
                 if self.known.get(name) != value:
                     LOG.warning(
@@ -104,7 +104,7 @@
     """
 
     def __init__(self, *, store):
-        self.tail = KeyedTail(store=store, topic=OPERATOR_TOPIC)
+        self.tail = KeyedTopicTail(store=store, topic=OPERATOR_TOPIC)
 
     async def next(self, *, wait_ms):
         """Waits for a change and returns the newest configuration.
@@ -123,7 +123,7 @@
                 await asyncio.sleep(0)
             return None
         try:
-            return wire.configuration(value)
+            return wire.parse_configuration(value)
         except ValueError as error:
             LOG.error("The configuration cannot be read: %s", error)
             return None
--- a/packages/cicadafold/src/cicadafold/platform/tests/test_log_store.py
+++ b/packages/cicadafold/src/cicadafold/platform/tests/test_log_store.py
@@ -16,17 +16,17 @@
 
 def test_slow_store_is_waited_for(store):
     """The wait grows with the appends seen, within its bounds."""
-    assert store.patience_s == log_store.LEAST_PATIENCE_S
-    store.append_ms = 400.0
-    assert store.patience_s == 1.6
-    store.append_ms = 9000.0
-    assert store.patience_s == log_store.LONGEST_PATIENCE_S
+    assert store.append_timeout_s == log_store.MIN_APPEND_TIMEOUT_S
+    store.mean_append_ms = 400.0
+    assert store.append_timeout_s == 1.6
+    store.mean_append_ms = 9000.0
+    assert store.append_timeout_s == log_store.MAX_APPEND_TIMEOUT_S
 
 
 def test_store_is_out_of_reach_only_while_calls_fail(store):
     """A long quiet time without failures is no outage."""
-    store.answered_ms -= 60_000.0
+    store.last_served_ms -= 60_000.0
     assert store.reachable
-    store.note_failure("log-read", store.answered_ms + 1.0)
+    store.record_failure("log-read", store.last_served_ms + 1.0)
     assert not store.reachable
     assert store.failing
--- a/packages/cicadafold/src/cicadafold/platform/tests/test_wire.py
+++ b/packages/cicadafold/src/cicadafold/platform/tests/test_wire.py
@@ -62,7 +62,7 @@
 )
 def test_damaged_entry_names_no_worker(value):
     """An entry that cannot be read is left out."""
-    assert wire.host_report("i-1", value) is None
+    assert wire.parse_host_report("i-1", value) is None
 
 
 def test_entry_of_a_worker_is_read():
@@ -77,7 +77,7 @@
         "born": 7,
         "new": {"field": 1},
     }
-    report = wire.host_report("i-1", json.dumps(value).encode())
+    report = wire.parse_host_report("i-1", json.dumps(value).encode())
     assert report.draining
     assert report.capacity.accelerators == 2
     assert (report.born_ms, report.remaining_ms) == (7, 400)
@@ -85,10 +85,10 @@
 
 def test_task_names_round_trip():
     """A task's name is read as it was written; others name nothing."""
-    name = wire.task_name("ab.0.1.17")
-    assert wire.task_text(name) == "ab.0.1.17"
-    assert wire.task_name("ab.0.x.1") is None
-    assert wire.task_name("") is None
+    name = wire.parse_task_name("ab.0.1.17")
+    assert wire.format_task_name(name) == "ab.0.1.17"
+    assert wire.parse_task_name("ab.0.x.1") is None
+    assert wire.parse_task_name("") is None
 
 
 def test_all_faults_of_the_settings_are_listed():
--- a/packages/cicadafold/src/cicadafold/platform/wire.py
+++ b/packages/cicadafold/src/cicadafold/platform/wire.py
@@ -5,13 +5,13 @@
 from cicadafold.jobs import model
 
 __all__ = [
-    "configuration",
-    "end",
-    "host_report",
+    "parse_configuration",
+    "parse_end",
+    "parse_host_report",
     "job_document",
-    "job_spec",
-    "task_row",
-    "task_text",
+    "parse_job",
+    "parse_task_row",
+    "format_task_name",
 ]
 
 LARGEST_COUNT = 100_000
@@ -133,7 +133,7 @@
 STATES = {"ready": False, "draining": True}
 
 
-def job_spec(body, *, job, rule, accepted_ms, waited_ms=0):
+def parse_job(body, *, job, rule, accepted_ms, waited_ms=0):
     """Decodes a submitted job.
 
     Raises:
@@ -143,7 +143,7 @@
     if not found.steps:
         raise ValueError("a job needs at least one step")
     steps = tuple(
-        step_spec(number, step) for number, step in enumerate(found.steps)
+        parse_step(number, step) for number, step in enumerate(found.steps)
     )
     numbers = (found.repeats, found.firstRunMs, found.intervalMs)
     if not all(0 <= number < LARGEST_TIME_MS for number in numbers):
@@ -198,7 +198,7 @@
     )
 
 
-def step_spec(number, step):
+def parse_step(number, step):
     """Checks one step and returns it in the project's type."""
     amounts = (
         step.cpu,
@@ -235,14 +235,14 @@
     )
 
 
-def configuration(body):
+def parse_configuration(body):
     """Decodes the configuration document.
 
     Raises:
         ValueError: The document is damaged.
     """
     found = decode_configuration(body)
-    queues = {route.name: queue_rule(route) for route in found.routes}
+    queues = {route.name: parse_queue_rule(route) for route in found.routes}
     pools = {
         service.name: model.PoolRule(
             service.name, service.admissionCheck, service.standby
@@ -254,7 +254,7 @@
     )
 
 
-def queue_rule(route):
+def parse_queue_rule(route):
     """Returns a route as a queue."""
     advice = None
     if route.advice is not None:
@@ -274,7 +274,7 @@
     )
 
 
-def host_report(worker, value):
+def parse_host_report(worker, value):
     """Decodes a worker's entry.
 
     Returns:
@@ -301,7 +301,7 @@
     )
 
 
-def task_text(name):
+def format_task_name(name):
     """Returns a task's name as the workers spell it.
 
     Examples:
@@ -311,7 +311,7 @@
     return f"{name.job}.{name.occurrence}.{name.step}.{name.index}"
 
 
-def task_name(text):
+def parse_task_name(text):
     """Parses a task's name, None if it is none of ours."""
     parts = text.split(".")
     if len(parts) != 4 or not all(part.isdigit() for part in parts[1:]):
@@ -321,11 +321,11 @@
     )
 
 
-def task_row(row):
+def parse_task_row(row):
     """Decodes a row of the running tasks."""
     reading = float(row[4]) if len(row) > 4 else 0.0
     return model.TaskRow(
-        task_name(row[0]),
+        parse_task_name(row[0]),
         int(row[1]),
         str(row[2] or ""),
         float(row[3]),
@@ -333,11 +333,11 @@
     )
 
 
-def end(row):
+def parse_end(row):
     """Decodes a row of the finished runs."""
     return model.End(
         int(row[0]),
-        task_name(row[1]),
+        parse_task_name(row[1]),
         int(row[2]),
         model.EndKind(row[3]),
         str(row[4] or "") if len(row) > 4 else "",
--- a/packages/cicadafold/src/cicadafold/platform/worker_calls.py
+++ b/packages/cicadafold/src/cicadafold/platform/worker_client.py
@@ -10,13 +10,13 @@
 from cicadafold.jobs import model
 from cicadafold.platform import wire
 
-__all__ = ["Inventory", "StartOrder", "StartResult", "WorkerCalls"]
+__all__ = ["Inventory", "StartCommand", "CommandResult", "WorkerClient"]
 
 CONNECT_TIMEOUT_S = 0.5
 MILLISECONDS = 1000
 STATUS_OK = 200
 STATUS_CONFLICT = 409
-STATUS_OTHER_LIFE = 421
+STATUS_MISDIRECTED = 421
 STATUS_UNHEALTHY = (429, 503)
 HEADERS = {"Content-Type": "application/json"}
 EXPECT_HEADER = "Cicadafold-Expect-Instance"
@@ -24,7 +24,7 @@
 encode = msgspec.json.encode
 
 
-class StartResult(enum.Enum):
+class CommandResult(enum.Enum):
     """Answer to an order.
 
     Attributes:
@@ -39,18 +39,18 @@
         MALFORMED: The worker could not read the order.
     """
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     FENCED = "fence"
     SUPERSEDED = "old"
-    TOO_LATE = "late"
-    NO_ROOM = "room"
-    NO_TICKET = "ticket"
-    OTHER_LIFE = "other life"
+    DEADLINE_PASSED = "late"
+    NO_CAPACITY = "room"
+    INVALID_TICKET = "ticket"
+    WRONG_WORKER = "other life"
     UNHEALTHY = "unhealthy"
     MALFORMED = "malformed"
 
 
-class StartOrder(msgspec.Struct, frozen=True):
+class StartCommand(msgspec.Struct, frozen=True):
     """What a start says besides the fence.
 
     Attributes:
@@ -86,7 +86,7 @@
     ends: list[model.End]
 
 
-class WorkerCalls:
+class WorkerClient:
     """Calls to one worker under one fence.
 
     Args:
@@ -113,7 +113,7 @@
                 may still be carried out.
         """
         message = {
-            "task": wire.task_text(order.name),
+            "task": wire.format_task_name(order.name),
             "attempt": order.attempt,
             "spec": order.payload,
             "deadlineMs": order.deadline_ms,
@@ -124,28 +124,28 @@
         if order.ticket:
             message["ticket"] = order.ticket
         status, body = await self.call("run-start", message, timeout_s)
-        return order_result(status, body)
+        return command_result(status, body)
 
     async def stop(self, name, attempt, *, timeout_s):
         """Stops a run; one that is not there yet will be rejected."""
         message = {
-            "task": wire.task_text(name),
+            "task": wire.format_task_name(name),
             "attempt": attempt,
             "fence": self.fence,
         }
         status, body = await self.call("run-stop", message, timeout_s)
-        return order_result(status, body)
+        return command_result(status, body)
 
     async def pace(self, name, attempt, percent, *, timeout_s):
         """Lets a run work at a share of its speed, 0 to 100."""
         message = {
-            "task": wire.task_text(name),
+            "task": wire.format_task_name(name),
             "attempt": attempt,
             "percent": percent,
             "fence": self.fence,
         }
         status, body = await self.call("pace", message, timeout_s)
-        return order_result(status, body)
+        return command_result(status, body)
 
     async def renew(self, *, acknowledged, deadline_ms, wait_ms, timeout_s):
         """Renews the lease of all runs and returns the inventory.
@@ -157,7 +157,7 @@
             timeout_s: Seconds to wait for the answer.
 
         Returns:
-            The inventory, or the ``StartResult`` of a refusal.
+            The inventory, or the ``CommandResult`` of a refusal.
         """
         message = {"fence": self.fence, "ackedThrough": acknowledged}
         if deadline_ms is not None:
@@ -167,7 +167,7 @@
         status, body = await self.call("hold", message, timeout_s)
         if status == STATUS_OK:
             return decode_inventory(body)
-        return order_result(status, body)
+        return command_result(status, body)
 
     async def call(self, name, message, timeout_s):
         """Makes a call and returns status and body."""
@@ -200,20 +200,20 @@
         )
 
 
-def order_result(status, body):
+def command_result(status, body):
     """Returns the meaning of an answer to an order."""
     if status == STATUS_OK:
-        return StartResult.TAKEN
-    if status == STATUS_OTHER_LIFE:
-        return StartResult.OTHER_LIFE
+        return CommandResult.ACCEPTED
+    if status == STATUS_MISDIRECTED:
+        return CommandResult.WRONG_WORKER
     if status in STATUS_UNHEALTHY:
-        return StartResult.UNHEALTHY
+        return CommandResult.UNHEALTHY
     if status == STATUS_CONFLICT:
         try:
-            return StartResult(json.loads(body)["reason"])
+            return CommandResult(json.loads(body)["reason"])
         except (ValueError, KeyError, TypeError):
-            return StartResult.NO_ROOM
-    return StartResult.MALFORMED
+            return CommandResult.NO_CAPACITY
+    return CommandResult.MALFORMED
 
 
 def decode_inventory(body):
@@ -227,8 +227,8 @@
         return Inventory(
             int(found["clockMs"]),
             int(found.get("born", 0)),
-            [wire.task_row(row) for row in found.get("running") or ()],
-            [wire.end(row) for row in found.get("finished") or ()],
+            [wire.parse_task_row(row) for row in found.get("running") or ()],
+            [wire.parse_end(row) for row in found.get("finished") or ()],
         )
     except (ValueError, KeyError, TypeError, IndexError) as error:
         raise exception.TargetUnreachable(
--- a/packages/cicadafold/src/cicadafold/settings/cell.py
+++ b/packages/cicadafold/src/cicadafold/settings/cell.py
@@ -6,7 +6,7 @@
 
 # A scheduler of some hundred workers sends and reads a few megabits a
 # second, and more while it recovers.
-AMPLE_LINK_MBPS = 50.0
+SUFFICIENT_LINK_MBPS = 50.0
 
 
 class CellSettings(msgspec.Struct, frozen=True):
@@ -47,6 +47,6 @@
     link_mbps: float
 
     @property
-    def strength(self):
+    def election_priority(self):
         """How well the host can carry a scheduler; larger is better."""
-        return self.cores * min(1.0, self.link_mbps / AMPLE_LINK_MBPS)
+        return self.cores * min(1.0, self.link_mbps / SUFFICIENT_LINK_MBPS)
--- a/packages/cicadafold/src/cicadafold/settings/check.py
+++ b/packages/cicadafold/src/cicadafold/settings/check.py
@@ -8,10 +8,10 @@
 
 from cicadafold.settings import table
 
-__all__ = ["Fault", "Settings", "check_document", "load"]
+__all__ = ["InvalidSetting", "Settings", "check_document", "load"]
 
 
-class Fault(msgspec.Struct, kw_only=True):
+class InvalidSetting(msgspec.Struct, kw_only=True):
     """A fault of a settings file."""
 
     key: str
@@ -50,15 +50,15 @@
         text = pathlib.Path(path).read_text(encoding="utf-8")
         document = tomllib.loads(text)
     except OSError as error:
-        return one_fault(path, error, "Check the path and its rights.")
+        return unreadable_file(path, error, "Check the path and its rights.")
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        return one_fault(path, error, "Write valid TOML in UTF-8.")
+        return unreadable_file(path, error, "Write valid TOML in UTF-8.")
     return check_document(document)
 
 
-def one_fault(path, error, remedy):
+def unreadable_file(path, error, remedy):
     """Returns the error of a file that cannot be read."""
-    fault = Fault(key=str(path), found=str(error), remedy=remedy)
+    fault = InvalidSetting(key=str(path), found=str(error), remedy=remedy)
     return expression.Error([fault])
 
 
@@ -85,7 +85,7 @@
             values[setting.key] = value
     faults.extend(unknown_key(key) for key in sorted(found))
     if not faults:
-        faults.extend(check_together(values))
+        faults.extend(check_combinations(values))
     if faults:
         return expression.Error(faults)
     return expression.Ok(Settings(values=values))
@@ -111,7 +111,9 @@
 def check_value(setting, value):
     """Returns the fault of a value, or None."""
     if value is None:
-        return Fault(key=setting.key, found="nothing", remedy=setting.remedy)
+        return InvalidSetting(
+            key=setting.key, found="nothing", remedy=setting.remedy
+        )
     wanted = (int, float) if setting.type is float else setting.type
     typed = isinstance(value, wanted)
     if setting.type is not bool:
@@ -119,19 +121,19 @@
     if typed and (setting.check is None or setting.check(value)):
         return None
     shown = "a text" if setting.unit == "secret" else repr(value)
-    return Fault(key=setting.key, found=shown, remedy=setting.remedy)
+    return InvalidSetting(key=setting.key, found=shown, remedy=setting.remedy)
 
 
 def unknown_key(key):
     """Returns the fault of a key that no setting has."""
-    return Fault(
+    return InvalidSetting(
         key=key,
         found="an unknown key",
         remedy="Remove it or correct its spelling.",
     )
 
 
-def check_together(values):
+def check_combinations(values):
     """Returns the faults of values that do not go together."""
     tls = [
         key
@@ -140,7 +142,7 @@
     ]
     if len(tls) in (0, 3):
         return
-    yield Fault(
+    yield InvalidSetting(
         key="security.tls_certificate",
         found=f"only {', '.join(tls)}",
         remedy="Set tls_certificate, tls_key and tls_listen, or none.",
--- a/packages/cicadafold/src/cicadafold/telemetry/events.py
+++ b/packages/cicadafold/src/cicadafold/telemetry/events.py
@@ -5,18 +5,18 @@
 
 from cicadafold_schema import messages
 
-__all__ = ["EventBook"]
+__all__ = ["RequestEvents"]
 
 MAX_REQUESTS = 5000
 MAX_EVENTS_PER_REQUEST = 50
 MILLISECONDS = 1000
 
 
-class EventBook:
+class RequestEvents:
     """The last events of the last requests that this process saw.
 
     Examples:
-        >>> book = EventBook(member="entry-1")
+        >>> book = RequestEvents(member="entry-1")
         >>> book.add("r1", "Queued behind 3 urgent requests.")
         >>> [event.text for event in book.events("r1")]
         ['Queued behind 3 urgent requests.']
--- a/packages/cicadafold/src/cicadafold/telemetry/logs.py
+++ b/packages/cicadafold/src/cicadafold/telemetry/logs.py
@@ -10,7 +10,7 @@
 ROOT = "cicadafold"
 
 
-class PartAdapter(logging.LoggerAdapter):
+class PrefixAdapter(logging.LoggerAdapter):
     """Puts the prefix of its part before each sentence."""
 
     def process(self, msg, kwargs):
@@ -26,7 +26,7 @@
     Args:
         part: Prefix of the part, for example ``ownership``.
     """
-    return PartAdapter(logging.getLogger(ROOT), {"part": part})
+    return PrefixAdapter(logging.getLogger(ROOT), {"part": part})
 
 
 def configure(*, member, level="INFO", stream=sys.stderr, handler=None):
--- a/packages/cicadafold/src/cicadafold/telemetry/bounded.py
+++ b/packages/cicadafold/src/cicadafold/telemetry/rate_limited.py
@@ -4,7 +4,7 @@
 import os
 import time
 
-__all__ = ["BoundedHandler"]
+__all__ = ["RateLimitedHandler"]
 
 # Lines a second that a busy scheduler writes, about 150, with room for
 # bursts; a line takes about 30 microseconds to write.
@@ -12,7 +12,7 @@
 BURST_LINES = 1000
 
 
-class BoundedHandler(logging.Handler):
+class RateLimitedHandler(logging.Handler):
     """Writes to a descriptor; lines over the rate are counted and dropped.
 
     Args:
@@ -24,7 +24,7 @@
         super().__init__()
         self.descriptor = descriptor
         self.clock = clock
-        self.allowance = float(BURST_LINES)
+        self.tokens = float(BURST_LINES)
         self.at_s = clock()
         self.dropped = 0
         os.set_blocking(descriptor, False)
@@ -34,11 +34,11 @@
         now_s = self.clock()
         gained = (now_s - self.at_s) * LINES_PER_S
         self.at_s = now_s
-        self.allowance = min(BURST_LINES, self.allowance + gained)
-        if self.allowance < 1:
+        self.tokens = min(BURST_LINES, self.tokens + gained)
+        if self.tokens < 1:
             self.dropped += 1
             return
-        self.allowance -= 1
+        self.tokens -= 1
         if self.dropped:
             count, self.dropped = self.dropped, 0
             self.write(self.report(count))
