--- a/packages/cicadafold-standins/src/cicadafold_standins/memory.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/memory.py
@@ -185,7 +185,7 @@
         self.recorded = {host.name for host in hosts}
         owner.update_hosts(hosts)
 
-    def wake(self, function):
+    def call_soon(self, function):
         asyncio.get_running_loop().call_soon(function)
 
     def count_links(self):
@@ -197,7 +197,7 @@
     def target_client(self, address):
         return self.targets[address]
 
-    def rack_with_room(self, own_rack, kind, wait_ms):
+    def rack_with_capacity(self, own_rack, kind, wait_ms):
         return None
 
     def longest_lease_ms(self):
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/cell.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/cell.py
@@ -53,13 +53,13 @@
             ),
         )
         calls = job_server.CallerCalls(
-            door=node.door,
+            door=node.job_service,
             routes=node.routes,
             closing=lambda: not node.ready(),
             metrics=node.metrics,
         )
         peers = web.Application()
-        node.roster.add_routes(peers.router)
+        node.peer_directory.add_routes(peers.router)
         listen = self.network.listen
         app = job_server.make_caller_app(calls)
         listen(settings.caller_address, app, self.host)
--- a/packages/cicadafold/src/cicadafold/daemon/cell_main.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_main.py
@@ -73,14 +73,14 @@
         """Opens all addresses of the settings."""
         settings = self.settings
         calls = job_server.CallerCalls(
-            door=node.door,
+            door=node.job_service,
             routes=node.routes,
             closing=lambda: not node.ready(),
             metrics=node.metrics,
         )
         peers = web.Application()
         peers.router.add_get(scheduler_link.PATH, node.serve_peer)
-        node.roster.add_routes(peers.router)
+        node.peer_directory.add_routes(peers.router)
         apps = (
             (settings.caller_address, job_server.make_caller_app(calls)),
             (settings.ready_address, job_server.make_ready_app(node.ready)),
--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -11,13 +11,13 @@
 from cicadafold.dispatch import term as term_module
 from cicadafold.election import campaign
 from cicadafold.election import terms
-from cicadafold.frontdoor import door
-from cicadafold.frontdoor import routes
+from cicadafold.job_service import routes
+from cicadafold.job_service import service
 from cicadafold.journal import accepting
-from cicadafold.peers import asking
+from cicadafold.peers import directory
 from cicadafold.peers import link
-from cicadafold.peers import peer_calls
-from cicadafold.peers import roster
+from cicadafold.peers import peer_client
+from cicadafold.peers import scheduler_client
 from cicadafold.peers import scheduler_link
 from cicadafold.platform import advice_calls
 from cicadafold.platform import log_store
@@ -34,7 +34,7 @@
 CONNECTIONS_PER_WORKER = 6
 KEEP_ALIVE_S = 60.0
 # Ending a term and leaving the group take a few round trips.
-HAND_OVER_S = 0.5
+HANDOVER_TIMEOUT_S = 0.5
 # Share of the time until the kill: the balancer notices after two missed
 # checks, a second apart.
 REROUTE_SHARE = 0.42
@@ -69,31 +69,33 @@
             address=settings.store_address,
             metrics=self.metrics,
         )
-        self.scheduler = scheduler_link.SchedulerLink(
+        self.scheduler_link = scheduler_link.SchedulerLink(
             session=self.peer_session,
             member=self.member,
             address=settings.peer_address,
-            strength=settings.strength,
-            owner=self,
+            election_priority=settings.election_priority,
+            node=self,
         )
-        self.ask = asking.SchedulerAsker(
-            local=lambda: self.term, remote=self.scheduler
+        self.scheduler_client = scheduler_client.SchedulerClient(
+            local=lambda: self.term, remote=self.scheduler_link
         )
         self.routes = routes.Routes(
             source=registry.ConfigurationSource(store=self.store),
-            ask=self.ask,
+            scheduler=self.scheduler_client,
             on_change=self.on_configuration,
         )
         self.claims = terms.ClaimsTail(
             store=self.store, on_claim=self.on_claim
         )
-        self.roster = roster.Roster(
+        self.peer_directory = directory.PeerDirectory(
             session=self.peer_session,
             address=settings.peer_address,
             on_claim=self.claims.follow,
             on_take_over=lambda term: self.campaign.take_over(term),
         )
-        self.sharing = roster.Sharing(roster=self.roster, peers=self.peers)
+        self.address_broadcaster = directory.AddressBroadcaster(
+            peer_directory=self.peer_directory, peers=self.peers
+        )
         self.campaign = campaign.Campaign(
             store=self.store,
             claims=self.claims,
@@ -101,10 +103,10 @@
             address=settings.peer_address,
             ttl_ms=settings.member_ttl_ms,
             serving=lambda: self.term is not None,
-            health=self.ask.health,
-            scheduler_gone=lambda: self.scheduler.refused,
-            ask_strong=self.roster.ask_strong,
-            strength=settings.strength,
+            health=self.scheduler_client.health,
+            scheduler_gone=lambda: self.scheduler_link.refused,
+            ask_strong=self.peer_directory.request_take_over,
+            strength=settings.election_priority,
         )
         self.writer = accepting.AcceptWriter(
             store=self.store,
@@ -114,14 +116,14 @@
         self.advice = advice_calls.AdviceCalls(
             session=self.peer_session, address=settings.advice_address
         )
-        self.own_line = advising.AdviceLine(
+        self.own_handle = advising.AdviceLine(
             member=self.member,
             ask=self.advice.advise,
-            strength=settings.strength,
+            election_priority=settings.election_priority,
         )
-        self.door = door.JobDoor(
+        self.job_service = service.JobService(
             writer=self.writer,
-            ask=self.ask,
+            scheduler=self.scheduler_client,
             isolated=self.isolated,
             reachable=lambda: self.store.reachable,
             metrics=self.metrics,
@@ -136,7 +138,7 @@
                 child(name="configuration", run=self.routes.run),
                 child(name="claims", run=self.claims.run),
                 child(name="campaign", run=self.campaign.run),
-                child(name="scheduler link", run=self.scheduler.run),
+                child(name="scheduler link", run=self.scheduler_link.run),
                 child(name="accept writer", run=self.writer.run),
             ],
         )
@@ -155,7 +157,7 @@
 
     def isolated(self):
         """Whether this process reaches neither store nor scheduler."""
-        return not self.store.reachable and self.scheduler.link is None
+        return not self.store.reachable and self.scheduler_link.link is None
 
     def on_configuration(self, configuration):
         """Hands a new configuration to the term."""
@@ -166,7 +168,7 @@
         """Begins or ends a term as the newest claim says."""
         if self.term is not None and self.term.number < claim.term:
             self.term.step_down(f"term {claim.term} has begun")
-        self.scheduler.follow(claim)
+        self.scheduler_link.follow(claim)
         if claim.member == self.member and not self.draining:
             self.term_task = asyncio.create_task(self.serve_term(claim))
 
@@ -178,17 +180,17 @@
             store=self.store,
             registry=registry.RegistrySource(store=self.store),
             make_calls=self.make_calls,
-            advice_lines=self.advice_lines,
+            advice_lines=self.peer_handles,
             configuration=self.routes,
             confirm=lambda: self.claims.read_once(wait_ms=0),
             longest_lease_ms=settings.longest_lease_ms,
             status_s=settings.status_s,
             uses_advice=bool(settings.advice_address),
-            strength=settings.strength,
+            election_priority=settings.election_priority,
             metrics=self.metrics,
         )
         self.term = term
-        announcing = asyncio.create_task(self.roster.announce(claim))
+        announcing = asyncio.create_task(self.peer_directory.announce(claim))
         try:
             await term.run()
         except Exception as error:
@@ -208,9 +210,9 @@
             metrics=self.metrics,
         )
 
-    def advice_lines(self):
+    def peer_handles(self):
         """Returns the hosts that can call the advice service."""
-        return [self.own_line, *self.peers.values()]
+        return [self.own_handle, *self.peers.values()]
 
     def serving_term(self):
         """Returns the term that this process serves.
@@ -219,24 +221,26 @@
             Starting: It serves none.
         """
         if self.term is None:
-            raise asking.starting()
+            raise scheduler_client.starting_error()
         return self.term
 
     def on_hello(self, hello, peer):
         """Takes a peer that has opened a link."""
         if self.term is not None and hello.term > self.term.number:
             self.term.step_down(f"a peer knows term {hello.term}")
-        strong = hello.strength >= campaign.STRONG
-        self.roster.add([hello.address], [hello.address] if strong else ())
-        calls = peer_calls.PeerCalls(peer=peer)
+        preferred = hello.strength >= campaign.STRONG
+        self.peer_directory.add(
+            [hello.address], [hello.address] if preferred else ()
+        )
+        calls = peer_client.PeerClient(peer=peer)
         self.peers[peer] = advising.AdviceLine(
             member=hello.member,
             ask=calls.advise,
-            strength=hello.strength,
+            election_priority=hello.strength,
             store_age_ms=calls.store_age_ms,
             take_over=calls.take_over,
         )
-        self.sharing.peer_came()
+        self.address_broadcaster.schedule()
 
     async def serve_peer(self, request):
         """Serves the link that a peer has opened."""
@@ -249,7 +253,7 @@
 
     async def serve_socket(self, socket):
         """Serves an open WebSocket of a peer until it closes."""
-        peer = link.PeerLink(socket=socket, owner=self, member="peer")
+        peer = link.PeerLink(socket=socket, node=self, member="peer")
         try:
             await peer.serve()
         finally:
@@ -274,9 +278,9 @@
         if self.term is not None:
             self.term.step_down("this process stops")
         if self.term_task is not None:
-            await asyncio.wait({self.term_task}, timeout=HAND_OVER_S)
+            await asyncio.wait({self.term_task}, timeout=HANDOVER_TIMEOUT_S)
         try:
-            async with asyncio.timeout(HAND_OVER_S):
+            async with asyncio.timeout(HANDOVER_TIMEOUT_S):
                 await self.campaign.leave()
         except TimeoutError:
             LOG.warning("The group could not be left in time.")
--- a/packages/cicadafold/src/cicadafold/daemon/node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/node.py
@@ -32,7 +32,7 @@
 
 DEFAULT_LEASE_MS = 2000
 CONFIRM_TIMEOUT_S = 1.0
-FOLD_TIMEOUT_S = 1.0
+APPLY_TIMEOUT_S = 1.0
 PROBE_TIMEOUT_S = 0.5
 ADAPTER_MODULES = (http_adapters,)
 SKIPPED_HEADERS = (
@@ -69,10 +69,10 @@
         self.kinds = {}
         self.teams = {}
         self.in_flight = 0
-        self.make_sessions()
-        self.make_parts()
+        self.create_sessions()
+        self.create_components()
 
-    def make_sessions(self):
+    def create_sessions(self):
         """Opens the HTTP clients; control has its own connections."""
         no_timeout = aiohttp.ClientTimeout(total=None)
         self.session = aiohttp.ClientSession(
@@ -90,7 +90,7 @@
             skip_auto_headers=SKIPPED_HEADERS,
         )
 
-    def make_parts(self):
+    def create_components(self):
         """Creates the parts; nothing runs yet."""
         settings = self.settings
         adapter = settings["platform.adapter"]
@@ -233,7 +233,7 @@
         """
         if self.view.is_self(member):
             future = asyncio.get_running_loop().create_future()
-            self.racks.handle(frame, functools.partial(settle, future))
+            self.racks.handle(frame, functools.partial(set_reply, future))
             return await asyncio.wait_for(future, timeout_s)
         link = self.links.get(member, lane)
         return await link.call(frame, timeout_s=timeout_s)
@@ -247,11 +247,11 @@
             if own_claim or isinstance(record, WRITTEN_BY_MEMBER):
                 self.view.note_record(record.member, record.incarnation)
 
-    def wake(self, function):
+    def call_soon(self, function):
         """Calls a function in the next turn of the event loop."""
         asyncio.get_running_loop().call_soon(function)
 
-    def links_headers(self):
+    def peer_headers(self):
         """Returns the headers that calls to peers carry."""
         token = self.settings["security.peer_token"]
         return {"Authorization": f"Bearer {token}"} if token else {}
@@ -319,10 +319,10 @@
         record = records.RackHosts(
             rack=owner.name, term=owner.term, hosts=hosts
         )
-        if await self.append_and_fold(record):
+        if await self.append_and_apply(record):
             owner.update_hosts(self.hosts.of_rack(owner.name))
 
-    async def append_and_fold(self, record):
+    async def append_and_apply(self, record):
         """Appends a record and waits a while until it is folded here.
 
         Returns:
@@ -334,7 +334,7 @@
             return False
         await self.tail.wait_until(
             lambda: self.tail.state.offset >= offset,
-            timeout_s=FOLD_TIMEOUT_S,
+            timeout_s=APPLY_TIMEOUT_S,
         )
         return True
 
@@ -368,7 +368,7 @@
             if self.routing.could_fit(rack, kind, 0)
         ]
 
-    def rack_with_room(self, own_rack, kind, wait_ms):
+    def rack_with_capacity(self, own_rack, kind, wait_ms):
         """Returns another rack that has room now, or None."""
         configuration = self.tail.state.configuration
         return self.routing.rack_with_room(
@@ -379,7 +379,7 @@
             headroom=self.headroom_of(kind),
         )
 
-    def largest_fit_text(self):
+    def largest_worker_text(self):
         """Tells what the largest worker could hold."""
         hosts = [h for r in self.hosts.racks.values() for h in r.hosts]
         largest = max(hosts, key=lambda host: (host.cores, host.memory_mb))
@@ -392,12 +392,12 @@
     async def reaches_any_worker(self, rack):
         """Whether a connection to some worker of a rack opens."""
         probes = [
-            self.opens(self.resolve(host.address))
+            self.can_connect(self.resolve(host.address))
             for host in self.hosts.of_rack(rack)
         ]
         return any(await asyncio.gather(*probes))
 
-    async def opens(self, address):
+    async def can_connect(self, address):
         """Whether a connection to an address opens."""
         host, _, port = address.rpartition(":")
         try:
@@ -435,7 +435,7 @@
         return self.tail.reachable and not self.appender.is_refusing()
 
 
-def settle(future, reply):
+def set_reply(future, reply):
     """Gives a reply to the one that waits for it, if any still does."""
     if not future.done():
         future.set_result(reply)
--- a/packages/cicadafold/src/cicadafold/daemon/supervision.py
+++ b/packages/cicadafold/src/cicadafold/daemon/supervision.py
@@ -38,7 +38,7 @@
     async def run(self):
         """Runs all children until one fails too often."""
         self.tasks = [
-            asyncio.create_task(self.keep(child), name=child.name)
+            asyncio.create_task(self.run_with_restarts(child), name=child.name)
             for child in self.children
         ]
         try:
@@ -46,7 +46,7 @@
         finally:
             await self.stop()
 
-    async def keep(self, child):
+    async def run_with_restarts(self, child):
         """Runs a child again whenever it fails."""
         loop = asyncio.get_running_loop()
         while True:
--- a/packages/cicadafold/src/cicadafold/dispatch/advising.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/advising.py
@@ -59,7 +59,7 @@
         store_age_ms: Coroutine function that tells how long ago the store
             answered the host, None for this process itself.
         take_over: Coroutine function that asks the host to claim a term.
-        strength: How well the host can carry a scheduler.
+        election_priority: How well the host can carry a scheduler.
     """
 
     def __init__(
@@ -67,13 +67,13 @@
         *,
         member,
         ask,
-        strength,
+        election_priority,
         store_age_ms=None,
         take_over=None,
     ):
         self.member = member
         self.ask = ask
-        self.strength = strength
+        self.election_priority = election_priority
         self.store_age_ms = store_age_ms
         self.take_over = take_over
         self.busy = 0
--- a/packages/cicadafold/src/cicadafold/dispatch/term.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/term.py
@@ -21,8 +21,8 @@
 from cicadafold.journal import accepting
 from cicadafold.journal import progress as progress_module
 from cicadafold.journal import reading
-from cicadafold.peers import asking
 from cicadafold.peers import messages
+from cicadafold.peers import scheduler_client
 from cicadafold.scheduling import estimates
 from cicadafold.telemetry import logs
 
@@ -55,7 +55,7 @@
         longest_lease_ms: Longest lease that a worker grants.
         status_s: Seconds for which the state of an ended job is kept.
         uses_advice: Whether there is an advice service.
-        strength: How well this host can carry a scheduler.
+        election_priority: How well this host can carry a scheduler.
         metrics: Metrics of the process.
     """
 
@@ -72,7 +72,7 @@
         longest_lease_ms,
         status_s,
         uses_advice,
-        strength,
+        election_priority,
         metrics,
     ):
         self.number = number
@@ -123,7 +123,7 @@
             term=number,
             store=store,
             lines=advice_lines,
-            strength=strength,
+            election_priority=election_priority,
             begun_ms=self.begun_ms,
         )
         self.table = job_table.JobTable(
@@ -347,7 +347,7 @@
             Starting: The journal is not read to its end.
         """
         if not self.ready:
-            raise asking.starting()
+            raise scheduler_client.starting_error()
         ended = self.table.ended.get(job_id)
         if ended is not None:
             return ended
@@ -361,7 +361,7 @@
                 else model.JobState.QUEUED
             )
         if not self.reads_jobs():
-            raise asking.starting()
+            raise scheduler_client.starting_error()
         return None
 
     def reads_jobs(self):
@@ -393,7 +393,7 @@
             well = self.reads_jobs()
         else:
             well = now_ms - self.begun_ms < RECOVERY_MS
-        return messages.Health.WELL if well else messages.Health.UNWELL
+        return messages.Health.HEALTHY if well else messages.Health.DEGRADED
 
     def pending(self, queue):
         """Returns how many jobs of a queue have not started.
@@ -402,5 +402,5 @@
             Starting: The journal is not read to its end.
         """
         if not self.ready or not self.reads_jobs():
-            raise asking.starting()
+            raise scheduler_client.starting_error()
         return self.table.pending(queue)
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_handover.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_handover.py
@@ -9,14 +9,16 @@
 from cicadafold.dispatch import handover
 
 
-def line(age_ms, strength=1.0):
+def line(age_ms, election_priority=1.0):
     """Returns the line of a peer that the store answered so long ago."""
 
     async def store_age_ms():
         return age_ms
 
     return types.SimpleNamespace(
-        member="p", store_age_ms=store_age_ms, strength=strength
+        member="p",
+        store_age_ms=store_age_ms,
+        election_priority=election_priority,
     )
 
 
@@ -58,11 +60,13 @@
     """The strongest peer takes over once the term has lasted a while."""
 
     async def scenario():
-        lines = [line(10.0, strength) for strength in strengths]
+        lines = [
+            line(10.0, election_priority) for election_priority in strengths
+        ]
         holder = types.SimpleNamespace(
             lines=lambda: lines,
             begun_ms=clock.monotonic_ms() - age_ms,
-            strength=1.0,
+            election_priority=1.0,
         )
         chosen = await handover.Handover.find_stronger(holder)
         assert chosen is (None if found is None else lines[found])
--- a/packages/cicadafold/src/cicadafold/election/campaign.py
+++ b/packages/cicadafold/src/cicadafold/election/campaign.py
@@ -198,11 +198,11 @@
             # ends meanwhile is replaced without the group.
             return True
         health = await self.health(timeout_s=HEALTH_TIMEOUT_S)
-        if health is messages.Health.UNWELL:
+        if health is messages.Health.DEGRADED:
             # After an outage the scheduler needs a moment, as we did.
             served_ms = clock.monotonic_ms() - self.store.failed_ms
             return served_ms < UNWELL_GRACE_MS
-        return health is messages.Health.WELL
+        return health is messages.Health.HEALTHY
 
     def newest_term(self):
         """Returns the newest term known, 0 if there is none."""
--- a/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
+++ b/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
@@ -129,13 +129,13 @@
 @pytest.mark.parametrize(
     ("newest", "health", "serving", "age_ms", "served"),
     [
-        (None, messages.Health.WELL, True, 9000.0, False),
-        ("other", messages.Health.WELL, False, 9000.0, True),
-        ("other", messages.Health.UNWELL, False, 9000.0, False),
+        (None, messages.Health.HEALTHY, True, 9000.0, False),
+        ("other", messages.Health.HEALTHY, False, 9000.0, True),
+        ("other", messages.Health.DEGRADED, False, 9000.0, False),
         ("other", None, False, 9000.0, False),
         ("other", None, False, 100.0, True),
         ("me", None, True, 9000.0, True),
-        ("me", messages.Health.WELL, False, 100.0, False),
+        ("me", messages.Health.HEALTHY, False, 100.0, False),
     ],
 )
 def test_working_term_is_not_ended(newest, health, serving, age_ms, served):
--- a/packages/cicadafold/src/cicadafold/frontdoor/routes.py
+++ b/packages/cicadafold/src/cicadafold/job_service/routes.py
@@ -21,13 +21,13 @@
 
     Args:
         source: Reader of the configuration.
-        ask: Asker of the scheduler, for when the store cannot be read.
+        scheduler: Client of the scheduler, for when the store cannot be read.
         on_change: Function called with each new configuration.
     """
 
-    def __init__(self, *, source, ask, on_change):
+    def __init__(self, *, source, scheduler, on_change):
         self.source = source
-        self.ask = ask
+        self.scheduler = scheduler
         self.on_change = on_change
         self.current = None
         self.by_authority = {}
@@ -39,30 +39,30 @@
             try:
                 found = await self.source.next(wait_ms=WAIT_MS)
             except (exception.LogUnavailable, exception.LinkLost) as error:
-                self.note(error)
-                await self.ask_scheduler()
+                self.record_read_result(error)
+                await self.read_from_scheduler()
                 await asyncio.sleep(RETRY_PAUSE_S)
                 continue
-            self.note(None)
+            self.record_read_result(None)
             if found is not None:
-                self.take(found)
+                self.apply(found)
             if self.current is None:
                 await asyncio.sleep(EMPTY_PAUSE_S)
 
-    async def ask_scheduler(self):
+    async def read_from_scheduler(self):
         """Takes the configuration from the scheduler's process."""
         version = -1 if self.current is None else self.current.version
         try:
-            found = await self.ask.configuration(
+            found = await self.scheduler.configuration(
                 version, timeout_s=ASK_TIMEOUT_S
             )
         except (exception.LinkNotOpen, exception.LinkLost) as error:
             LOG.debug("The scheduler gave no configuration: %s", error)
             return
         if found is not None:
-            self.take(found)
+            self.apply(found)
 
-    def note(self, error):
+    def record_read_result(self, error):
         """Logs that the configuration was lost or regained."""
         if (error is not None) == self.failing:
             return
@@ -72,7 +72,7 @@
         else:
             LOG.info("The configuration is read again.")
 
-    def take(self, found):
+    def apply(self, found):
         """Puts a configuration in force if it is newer."""
         if self.current is not None and found.version <= self.current.version:
             return
@@ -97,7 +97,7 @@
         """Returns the rules of all queues by name."""
         return {} if self.current is None else self.current.queues
 
-    def find(self, authority, path):
+    def find_queue(self, authority, path):
         """Returns the queue with the longest prefix of a path, or None."""
         name = authority.partition(":")[0].lower()
         for rule in self.by_authority.get(name, ()):
--- a/packages/cicadafold/src/cicadafold/frontdoor/door.py
+++ b/packages/cicadafold/src/cicadafold/job_service/service.py
@@ -9,7 +9,7 @@
 from cicadafold.journal import records
 from cicadafold.telemetry import logs
 
-__all__ = ["JobDoor"]
+__all__ = ["JobService"]
 
 MILLISECONDS = 1000.0
 # Jobs accepted here that the scheduler may not have read yet.
@@ -23,21 +23,21 @@
 LOG = logs.get_logger("caller")
 
 
-class JobDoor:
+class JobService:
     """Serves callers of jobs on one entry host.
 
     Args:
         writer: Writer of acceptances and cancellings.
-        ask: Asker of the scheduler, with ``state`` and ``pending``.
+        scheduler: Client of the scheduler, with ``state`` and ``pending``.
         isolated: Function that tells whether this host reaches neither
             the store nor the scheduler.
         reachable: Function that tells whether this host reaches the store.
         metrics: Where calls are counted.
     """
 
-    def __init__(self, *, writer, ask, isolated, reachable, metrics):
+    def __init__(self, *, writer, scheduler, isolated, reachable, metrics):
         self.writer = writer
-        self.ask = ask
+        self.scheduler = scheduler
         self.isolated = isolated
         self.reachable = reachable
         self.metrics = metrics
@@ -57,8 +57,8 @@
         begun_ms = clock.monotonic_ms()
         key, value = records.accept_record(spec)
         await self.record(key, value, deadline_s)
-        self.remember(spec.id)
-        await self.ask.tell_accepted(spec)
+        self.remember_accepted(spec.id)
+        await self.scheduler.notify_accepted(spec)
         took_ms = clock.monotonic_ms() - begun_ms
         self.metrics.record_us(
             "accept", took_ms * MILLISECONDS, queue=spec.queue
@@ -85,7 +85,7 @@
             return
         left_s = deadline_s - asyncio.get_running_loop().time()
         try:
-            await self.ask.record(
+            await self.scheduler.record(
                 key, value, timeout_s=min(RELAY_TIMEOUT_S, left_s)
             )
         except exception.LinkNotOpen as error:
@@ -101,7 +101,7 @@
             ) from error
         self.metrics.count("records_relayed")
 
-    def remember(self, job):
+    def remember_accepted(self, job):
         """Keeps the identifier of an accepted job for a while."""
         self.accepted[job] = True
         if len(self.accepted) > REMEMBERED_JOBS:
@@ -113,8 +113,8 @@
         Raises:
             Starting: The scheduler did not answer in time.
         """
-        found = await self.until_told(
-            lambda timeout_s: self.ask.state(job, timeout_s=timeout_s),
+        found = await self.retry_until_answered(
+            lambda timeout_s: self.scheduler.state(job, timeout_s=timeout_s),
             deadline_s,
         )
         if found is None and job in self.accepted:
@@ -127,8 +127,10 @@
         Raises:
             Starting: The scheduler did not answer in time.
         """
-        return await self.until_told(
-            lambda timeout_s: self.ask.pending(queue, timeout_s=timeout_s),
+        return await self.retry_until_answered(
+            lambda timeout_s: self.scheduler.pending(
+                queue, timeout_s=timeout_s
+            ),
             deadline_s,
         )
 
@@ -143,7 +145,7 @@
             OutcomeUnknown: The cancelling may be recorded.
         """
         try:
-            found = await self.ask.state(job, timeout_s=ASK_TIMEOUT_S)
+            found = await self.scheduler.state(job, timeout_s=ASK_TIMEOUT_S)
             known = found is not None or job in self.accepted
         except exception.CicadafoldError as error:
             LOG.debug("The scheduler did not answer: %s", error)
@@ -155,11 +157,11 @@
             return True
         key, value = records.cancel_record(job)
         await self.record(key, value, deadline_s)
-        await self.ask.tell_cancelled(job)
+        await self.scheduler.notify_cancelled(job)
         LOG.info("A cancelling is recorded.", fields={"request_id": job})
         return True
 
-    async def until_told(self, ask, deadline_s):
+    async def retry_until_answered(self, ask, deadline_s):
         """Asks the scheduler until it answers or time is up."""
         loop = asyncio.get_running_loop()
         while True:
--- a/packages/cicadafold/src/cicadafold/ledger/placing.py
+++ b/packages/cicadafold/src/cicadafold/ledger/placing.py
@@ -125,7 +125,7 @@
             )
         raise exception.NeverFits(
             message=f"No rack could ever hold {request.kind.name}.",
-            remedy=self.node.largest_fit_text(),
+            remedy=self.node.largest_worker_text(),
         )
 
     async def locate(self, request):
--- a/packages/cicadafold/src/cicadafold/ownership/admission.py
+++ b/packages/cicadafold/src/cicadafold/ownership/admission.py
@@ -42,7 +42,7 @@
     wait_ms = estimates.expected_wait_ms(owner, work)
     if estimates.is_without_workers(owner):
         wait_ms = work.deadline_ms - clock.monotonic_ms()
-    return owner.node.rack_with_room(owner.name, work.kind, wait_ms)
+    return owner.node.rack_with_capacity(owner.name, work.kind, wait_ms)
 
 
 def send_on(owner, work, rack):
--- a/packages/cicadafold/src/cicadafold/ownership/keeper.py
+++ b/packages/cicadafold/src/cicadafold/ownership/keeper.py
@@ -158,7 +158,7 @@
         if member.name == self.node.name:
             if not await self.node.reaches_any_worker(rack.name):
                 return
-        if await self.node.append_and_fold(record):
+        if await self.node.append_and_apply(record):
             self.follow()
 
     async def hand_over(self):
--- a/packages/cicadafold/src/cicadafold/ownership/rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack.py
@@ -84,7 +84,7 @@
             link.leaving = leaving
             if host.name in recorded and not link.recorded:
                 link.recorded = True
-                self.node.wake(functools.partial(starting.pump, self))
+                self.node.call_soon(functools.partial(starting.pump, self))
 
     def add_link(self, host):
         """Starts the task that looks after a worker."""
--- a/packages/cicadafold/src/cicadafold/peers/roster.py
+++ b/packages/cicadafold/src/cicadafold/peers/directory.py
@@ -15,26 +15,26 @@
 from cicadafold.peers import messages
 from cicadafold.telemetry import logs
 
-__all__ = ["Roster", "Sharing"]
+__all__ = ["AddressBroadcaster", "PeerDirectory"]
 
 PATH = "/claim"
 TAKE_OVER_PATH = "/take-over"
 TIMEOUT_S = 0.6
-TRIES = 3
+MAX_TRIES = 3
 RETRY_PAUSE_S = 0.4
 # Peers come within about a second of a new term.
-SHARE_PAUSE_S = 1.0
-STATUS_OK = 200
-STATUS_UNAVAILABLE = 503
+BROADCAST_DELAY_S = 1.0
+HTTP_OK = 200
+HTTP_UNAVAILABLE = 503
 # A claim takes a few round trips to the store.
 TAKE_OVER_TIMEOUT_S = 0.8
 # Strong hosts that are asked before a weak one claims itself.
-ASKED_HOSTS = 3
+MAX_ASKED_HOSTS = 3
 
 LOG = logs.get_logger("peer")
 
 
-class Roster:
+class PeerDirectory:
     """Addresses of the processes of the cell, as far as known.
 
     Args:
@@ -46,7 +46,7 @@
 
     Attributes:
         addresses: All addresses but the own one.
-        strong: Those of hosts that can well carry a scheduler.
+        preferred: Those of hosts that can well carry a scheduler.
     """
 
     def __init__(self, *, session, address, on_claim, on_take_over):
@@ -55,44 +55,44 @@
         self.on_claim = on_claim
         self.on_take_over = on_take_over
         self.addresses = set()
-        self.strong = set()
+        self.preferred = set()
 
     def add_routes(self, router):
         """Serves what other processes ask of this one."""
-        router.add_post(PATH, self.take)
-        router.add_post(TAKE_OVER_PATH, self.take_over)
+        router.add_post(PATH, self.handle_claim)
+        router.add_post(TAKE_OVER_PATH, self.handle_take_over)
 
-    def add(self, addresses, strong=()):
+    def add(self, addresses, preferred=()):
         """Takes addresses of other processes."""
         self.addresses.update(addresses)
-        self.strong.update(strong)
+        self.preferred.update(preferred)
         self.addresses.discard(self.address)
-        self.strong.discard(self.address)
+        self.preferred.discard(self.address)
 
     async def announce(self, claim):
         """Tells every known process of this process's claim."""
         body = msgspec.json.encode(claim)
         await asyncio.gather(
-            *(self.tell(address, body) for address in self.addresses)
+            *(self.announce_to(address, body) for address in self.addresses)
         )
 
-    async def tell(self, address, body):
+    async def announce_to(self, address, body):
         """Tells one process; one that does not answer is left out."""
         timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             try:
                 async with self.session.post(
                     f"http://{address}{PATH}", data=body, timeout=timeout
                 ) as answer:
-                    if answer.status == STATUS_OK:
+                    if answer.status == HTTP_OK:
                         return
             except (aiohttp.ClientError, OSError, TimeoutError) as error:
                 LOG.debug("A process was not told: %r", error)
             await asyncio.sleep(RETRY_PAUSE_S)
         self.addresses.discard(address)
-        self.strong.discard(address)
+        self.preferred.discard(address)
 
-    async def ask_strong(self, term, *, without):
+    async def request_take_over(self, term, *, without):
         """Asks strong hosts to replace a term.
 
         Args:
@@ -104,14 +104,14 @@
         """
         timeout = aiohttp.ClientTimeout(total=TAKE_OVER_TIMEOUT_S)
         body = msgspec.json.encode(messages.TakeOver(term))
-        for address in sorted(self.strong - {without})[:ASKED_HOSTS]:
+        for address in sorted(self.preferred - {without})[:MAX_ASKED_HOSTS]:
             try:
                 async with self.session.post(
                     f"http://{address}{TAKE_OVER_PATH}",
                     data=body,
                     timeout=timeout,
                 ) as answer:
-                    if answer.status == STATUS_OK:
+                    if answer.status == HTTP_OK:
                         LOG.info(
                             "A strong host replaces the scheduler.",
                             fields={"term": term, "address": address},
@@ -121,7 +121,7 @@
                 LOG.info("A strong host does not answer: %r", error)
         return False
 
-    async def take_over(self, request):
+    async def handle_take_over(self, request):
         """Claims the next term for a host that is weak."""
         try:
             asked = msgspec.json.decode(
@@ -131,9 +131,9 @@
             LOG.warning("A request to take over cannot be read: %s", error)
             return web.Response(status=400)
         done = await self.on_take_over(asked.term)
-        return web.Response(status=STATUS_OK if done else STATUS_UNAVAILABLE)
+        return web.Response(status=HTTP_OK if done else HTTP_UNAVAILABLE)
 
-    async def take(self, request):
+    async def handle_claim(self, request):
         """Takes an announced claim."""
         try:
             claim = msgspec.json.decode(await request.read(), type=terms.Claim)
@@ -144,14 +144,14 @@
         return web.Response()
 
 
-class Sharing:
+class AddressBroadcaster:
     """Tells all peers the known addresses, once for those that come together.
 
     A message to all for each peer that comes would grow with the square of
     their number and fill the link of a small host as its term begins.
 
     Args:
-        roster: Known addresses.
+        peer_directory: Known addresses.
         peers: Links of the peers; changed by their owner.
 
     Attributes:
@@ -159,32 +159,35 @@
         task: Task that tells them, or None.
     """
 
-    def __init__(self, *, roster, peers):
-        self.roster = roster
+    def __init__(self, *, peer_directory, peers):
+        self.peer_directory = peer_directory
         self.peers = peers
-        self.wanted = False
+        self.requested = False
         self.task = None
 
-    def peer_came(self):
+    def schedule(self):
         """Lets the addresses be told soon."""
-        self.wanted = True
+        self.requested = True
         if self.task is None or self.task.done():
             self.task = asyncio.create_task(self.run())
 
     async def run(self):
         """Tells the addresses until no peer has come meanwhile."""
-        while self.wanted:
-            await asyncio.sleep(SHARE_PAUSE_S)
-            self.wanted = False
-            known = [*self.roster.addresses, self.roster.address]
-            strong = list(self.roster.strong)
-            message = messages.Roster(known, strong)
+        while self.requested:
+            await asyncio.sleep(BROADCAST_DELAY_S)
+            self.requested = False
+            known = [
+                *self.peer_directory.addresses,
+                self.peer_directory.address,
+            ]
+            preferred = list(self.peer_directory.preferred)
+            message = messages.Roster(known, preferred)
             await asyncio.gather(
                 *(peer.send_if_open(message) for peer in self.peers)
             )
 
 
-@link.answer(messages.Roster)
-async def take_roster(owner, message, _):
+@link.handles(messages.Roster)
+async def handle_roster(node, message, _):
     """Takes the addresses that the scheduler knows."""
-    owner.roster.add(message.addresses, message.strong)
+    node.peer_directory.add(message.addresses, message.strong)
--- a/packages/cicadafold/src/cicadafold/peers/link.py
+++ b/packages/cicadafold/src/cicadafold/peers/link.py
@@ -10,14 +10,14 @@
 from cicadafold.peers import messages
 from cicadafold.telemetry import logs
 
-__all__ = ["PeerLink", "answer"]
+__all__ = ["PeerLink", "handles"]
 
 HANDLERS = {}
 
 LOG = logs.get_logger("peer")
 
 
-def answer(kind):
+def handles(kind):
     """Registers a coroutine function that answers one kind of query.
 
     The function takes the object that the link was made with, and the
@@ -36,19 +36,19 @@
 
     Args:
         socket: Open WebSocket.
-        owner: Object that the answering functions are called with.
+        node: Object that the answering functions are called with.
         member: Name of the process at the other end.
     """
 
-    def __init__(self, *, socket, owner, member):
+    def __init__(self, *, socket, node, member):
         self.socket = socket
-        self.owner = owner
+        self.node = node
         self.member = member
-        self.numbers = itertools.count(1)
-        self.waiting = {}
-        self.answers = set()
+        self.query_numbers = itertools.count(1)
+        self.pending_replies = {}
+        self.handler_tasks = set()
 
-    async def call(self, make, *, timeout_s):
+    async def call(self, make_query, *, timeout_s):
         """Sends a query and waits for its reply.
 
         Args:
@@ -59,17 +59,17 @@
             LinkNotOpen: The link is closed.
             LinkLost: No reply came.
         """
-        number = next(self.numbers)
+        number = next(self.query_numbers)
         future = asyncio.get_running_loop().create_future()
-        self.waiting[number] = future
+        self.pending_replies[number] = future
         try:
-            await self.send(make(number))
+            await self.send(make_query(number))
             async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError as error:
-            raise lost(self.member, "no reply came in time") from error
+            raise link_lost(self.member, "no reply came in time") from error
         finally:
-            self.waiting.pop(number, None)
+            self.pending_replies.pop(number, None)
 
     async def send(self, message):
         """Sends one message.
@@ -85,7 +85,7 @@
         try:
             await self.socket.send_bytes(messages.encode(message))
         except (OSError, RuntimeError, aiohttp.ClientError) as error:
-            raise lost(self.member, repr(error)) from error
+            raise link_lost(self.member, repr(error)) from error
 
     async def send_if_open(self, message):
         """Sends a message whose loss does no harm."""
@@ -102,15 +102,17 @@
                     aiohttp.WSMsgType.BINARY,
                     aiohttp.WSMsgType.TEXT,
                 ):
-                    self.take(received.data)
+                    self.receive(received.data)
         finally:
-            for future in self.waiting.values():
+            for future in self.pending_replies.values():
                 if not future.done():
-                    future.set_exception(lost(self.member, "it was closed"))
-            for task in self.answers:
+                    future.set_exception(
+                        link_lost(self.member, "it was closed")
+                    )
+            for task in self.handler_tasks:
                 task.cancel()
 
-    def take(self, data):
+    def receive(self, data):
         """Takes one message: a reply, or a query to answer."""
         try:
             message = messages.decode(data)
@@ -123,23 +125,23 @@
             return
         handler = HANDLERS.get(type(message))
         if handler is None:
-            future = self.waiting.get(message.number)
+            future = self.pending_replies.get(message.number)
             if future is not None and not future.done():
                 future.set_result(message)
             return
-        task = asyncio.create_task(self.reply(handler, message))
-        self.answers.add(task)
-        task.add_done_callback(self.answers.discard)
+        task = asyncio.create_task(self.run_handler(handler, message))
+        self.handler_tasks.add(task)
+        task.add_done_callback(self.handler_tasks.discard)
 
-    async def reply(self, handler, message):
+    async def run_handler(self, handler, message):
         """Answers one query."""
-        made = await handler(self.owner, message, self)
+        made = await handler(self.node, message, self)
         if made is None:
             return
         await self.send_if_open(made)
 
 
-def lost(member, reason):
+def link_lost(member, reason):
     """Returns the error of a link that broke."""
     return exception.LinkLost(
         message=f"The link to {member} was lost: {reason}.",
--- a/packages/cicadafold/src/cicadafold/peers/messages.py
+++ b/packages/cicadafold/src/cicadafold/peers/messages.py
@@ -141,8 +141,8 @@
     """
 
     NO_TERM = "no term"
-    UNWELL = "unwell"
-    WELL = "well"
+    DEGRADED = "unwell"
+    HEALTHY = "well"
 
 
 class HealthReply(msgspec.Struct, tag="health-is"):
--- a/packages/cicadafold/src/cicadafold/peers/peer_calls.py
+++ b/packages/cicadafold/src/cicadafold/peers/peer_client.py
@@ -3,13 +3,13 @@
 from cicadafold import exception
 from cicadafold.peers import messages
 
-__all__ = ["PeerCalls"]
+__all__ = ["PeerClient"]
 
 HEALTH_TIMEOUT_S = 0.2
-NEVER_MS = 1e12
+NO_ANSWER_AGE_MS = 1e12
 
 
-class PeerCalls:
+class PeerClient:
     """Calls to one process.
 
     Args:
@@ -44,7 +44,7 @@
                 messages.HealthQuery, timeout_s=HEALTH_TIMEOUT_S
             )
         except (exception.LinkNotOpen, exception.LinkLost):
-            return NEVER_MS
+            return NO_ANSWER_AGE_MS
         return reply.store_age_ms
 
     async def take_over(self, term):
--- a/packages/cicadafold/src/cicadafold/peers/asking.py
+++ b/packages/cicadafold/src/cicadafold/peers/scheduler_client.py
@@ -7,12 +7,12 @@
 from cicadafold.peers import link
 from cicadafold.peers import messages
 
-__all__ = ["SchedulerAsker"]
+__all__ = ["SchedulerClient"]
 
 RETRY_AFTER_MS = 1000
 
 
-class SchedulerAsker:
+class SchedulerClient:
     """Asks the scheduler of this process, or the one behind the link.
 
     Args:
@@ -40,7 +40,7 @@
             timeout_s=timeout_s,
         )
         if not reply.ready:
-            raise starting()
+            raise starting_error()
         return None if reply.state is None else model.JobState(reply.state)
 
     async def health(self, *, timeout_s):
@@ -86,7 +86,7 @@
             remedy="Send the request again with the same ID.",
         )
 
-    async def tell_accepted(self, spec):
+    async def notify_accepted(self, spec):
         """Tells the scheduler of a durable job; the journal tells it too."""
         term = self.local()
         if term is not None:
@@ -94,7 +94,7 @@
         elif self.remote.link is not None:
             await self.remote.link.send_if_open(messages.JobAccepted(spec))
 
-    async def tell_cancelled(self, job):
+    async def notify_cancelled(self, job):
         """Tells the scheduler of a durable cancelling."""
         term = self.local()
         if term is not None:
@@ -131,66 +131,66 @@
             timeout_s=timeout_s,
         )
         if not reply.ready:
-            raise starting()
+            raise starting_error()
         return reply.count
 
 
-@link.answer(messages.StateQuery)
-async def answer_state(owner, query, _):
+@link.handles(messages.StateQuery)
+async def answer_state(node, query, _):
     """Tells a peer the state of a job."""
     try:
-        state = owner.serving_term().state_of(query.job)
+        state = node.serving_term().state_of(query.job)
     except exception.Starting:
         return messages.StateReply(query.number, False)
     shown = None if state is None else state.value
     return messages.StateReply(query.number, True, shown)
 
 
-@link.answer(messages.PendingQuery)
-async def answer_pending(owner, query, _):
+@link.handles(messages.PendingQuery)
+async def answer_pending(node, query, _):
     """Tells a peer how many jobs of a queue have not started."""
     try:
-        count = owner.serving_term().pending(query.queue)
+        count = node.serving_term().pending(query.queue)
     except exception.Starting:
         return messages.PendingReply(query.number, False)
     return messages.PendingReply(query.number, True, count)
 
 
-@link.answer(messages.HealthQuery)
-async def answer_health(owner, query, _):
+@link.handles(messages.HealthQuery)
+async def answer_health(node, query, _):
     """Tells a peer how the term of this process is."""
     health = messages.Health.NO_TERM
-    if owner.term is not None:
-        health = owner.term.health()
-    return messages.HealthReply(query.number, health, owner.store.age_ms)
+    if node.term is not None:
+        health = node.term.health()
+    return messages.HealthReply(query.number, health, node.store.age_ms)
 
 
-@link.answer(messages.JobAccepted)
-async def take_accepted(owner, message, _):
+@link.handles(messages.JobAccepted)
+async def handle_accepted(node, message, _):
     """Takes a job that a peer has accepted."""
-    if owner.term is not None:
-        owner.term.on_accepted(message.spec)
+    if node.term is not None:
+        node.term.on_accepted(message.spec)
 
 
-@link.answer(messages.JobCancelled)
-async def take_cancelled(owner, message, _):
+@link.handles(messages.JobCancelled)
+async def handle_cancelled(node, message, _):
     """Takes a cancelling that a peer has recorded."""
-    if owner.term is not None:
-        owner.term.on_cancelled(message.job)
+    if node.term is not None:
+        node.term.on_cancelled(message.job)
 
 
-@link.answer(messages.TakeOver)
-async def take_over(owner, message, _):
+@link.handles(messages.TakeOver)
+async def handle_take_over(node, message, _):
     """Claims the next term when the last one was given up."""
-    await owner.campaign.take_over(message.term)
+    await node.campaign.take_over(message.term)
 
 
-@link.answer(messages.RecordQuery)
-async def answer_record(owner, query, _):
+@link.handles(messages.RecordQuery)
+async def answer_record(node, query, _):
     """Writes a record for a process that does not reach the store."""
     deadline_s = asyncio.get_running_loop().time() + query.timeout_s
     try:
-        await owner.writer.write(query.key, query.value, deadline_s=deadline_s)
+        await node.writer.write(query.key, query.value, deadline_s=deadline_s)
     except exception.LogUnavailable:
         outcome = messages.Outcome.REFUSED
     except exception.OutcomeUnknown:
@@ -200,20 +200,20 @@
     return messages.RecordReply(query.number, outcome)
 
 
-@link.answer(messages.ConfigurationQuery)
-async def answer_configuration(owner, query, _):
+@link.handles(messages.ConfigurationQuery)
+async def answer_configuration(node, query, _):
     """Gives a newer configuration to a peer that cannot read it."""
-    current = owner.routes.current
+    current = node.routes.current
     if current is None or current.version <= query.version:
         return messages.ConfigurationReply(query.number)
     return messages.ConfigurationReply(query.number, current)
 
 
-@link.answer(messages.AdviseQuery)
-async def answer_advise(owner, query, _):
+@link.handles(messages.AdviseQuery)
+async def answer_advise(node, query, _):
     """Calls the advice service for the scheduler."""
     try:
-        granted = await owner.advice.advise(
+        granted = await node.advice.advise(
             query.job,
             query.occurrence,
             query.step,
@@ -225,14 +225,14 @@
     return messages.AdviseReply(query.number, granted)
 
 
-@link.answer(messages.Hello)
-async def take_hello(owner, hello, peer):
+@link.handles(messages.Hello)
+async def handle_hello(node, hello, peer):
     """Takes the name and the newest term of the process that calls."""
     peer.member = hello.member
-    owner.on_hello(hello, peer)
+    node.on_hello(hello, peer)
 
 
-def starting():
+def starting_error():
     """Returns the error of a scheduler that cannot tell yet."""
     return exception.Starting(
         message="The scheduler has not read the journal to its end.",
--- a/packages/cicadafold/src/cicadafold/peers/scheduler_link.py
+++ b/packages/cicadafold/src/cicadafold/peers/scheduler_link.py
@@ -28,8 +28,8 @@
         session: Client session.
         member: Name of this process.
         address: Address for links to this process.
-        strength: How well this host can carry a scheduler.
-        owner: Object that answers the scheduler's queries.
+        election_priority: How well this host can carry a scheduler.
+        node: Object that answers the scheduler's queries.
 
     Attributes:
         link: Open link, or None.
@@ -37,12 +37,12 @@
             which means that its process is gone.
     """
 
-    def __init__(self, *, session, member, address, strength, owner):
+    def __init__(self, *, session, member, address, election_priority, node):
         self.session = session
         self.member = member
         self.address = address
-        self.strength = strength
-        self.owner = owner
+        self.election_priority = election_priority
+        self.node = node
         self.claim = None
         self.link = None
         self.refused = False
@@ -89,12 +89,15 @@
             return
         self.refused = False
         link = link_module.PeerLink(
-            socket=socket, owner=self.owner, member=claim.member
+            socket=socket, node=self.node, member=claim.member
         )
         try:
             await link.send(
                 messages.Hello(
-                    self.member, claim.term, self.address, self.strength
+                    self.member,
+                    claim.term,
+                    self.address,
+                    self.election_priority,
                 )
             )
             self.link = link
@@ -114,7 +117,7 @@
             self.link = None
             await socket.close()
 
-    async def call(self, make, *, timeout_s):
+    async def call(self, make_query, *, timeout_s):
         """Calls the scheduler.
 
         Raises:
@@ -127,4 +130,4 @@
                 message="There is no link to the scheduler.",
                 remedy="Try again.",
             )
-        return await link.call(make, timeout_s=timeout_s)
+        return await link.call(make_query, timeout_s=timeout_s)
--- a/packages/cicadafold/src/cicadafold/peers/tests/test_roster.py
+++ b/packages/cicadafold/src/cicadafold/peers/tests/test_directory.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from cicadafold.peers import roster
+from cicadafold.peers import directory
 
 
 class Peer:
@@ -21,7 +21,7 @@
 
 def make_roster(session=None, on_take_over=None):
     """Returns the roster of a process at a:1."""
-    return roster.Roster(
+    return directory.PeerDirectory(
         session=session,
         address="a:1",
         on_claim=None,
@@ -31,33 +31,37 @@
 
 def test_peers_that_come_together_are_told_once(monkeypatch):
     """The messages of a new term grow with the peers, not their square."""
-    monkeypatch.setattr(roster, "SHARE_PAUSE_S", 0.02)
+    monkeypatch.setattr(directory, "BROADCAST_DELAY_S", 0.02)
 
     async def scenario():
         known = make_roster()
         peers = {}
-        sharing = roster.Sharing(roster=known, peers=peers)
+        broadcaster = directory.AddressBroadcaster(
+            peer_directory=known, peers=peers
+        )
         for number in range(40):
             peers[Peer()] = number
             known.add([f"b:{number}"])
-            sharing.peer_came()
-        await sharing.task
-        return peers, sharing
+            broadcaster.schedule()
+        await broadcaster.task
+        return peers, broadcaster
 
-    peers, sharing = asyncio.run(scenario())
+    peers, broadcaster = asyncio.run(scenario())
     assert [len(peer.taken) for peer in peers] == [1] * 40
     assert len(next(iter(peers)).taken[0].addresses) == 41
-    assert not sharing.wanted
+    assert not broadcaster.requested
 
 
 def test_peer_that_comes_while_others_are_told_is_told_next(monkeypatch):
     """No peer is left without the addresses."""
-    monkeypatch.setattr(roster, "SHARE_PAUSE_S", 0.0)
+    monkeypatch.setattr(directory, "BROADCAST_DELAY_S", 0.0)
 
     async def scenario():
         known = make_roster()
         peers = {}
-        sharing = roster.Sharing(roster=known, peers=peers)
+        broadcaster = directory.AddressBroadcaster(
+            peer_directory=known, peers=peers
+        )
         late = Peer()
 
         class First(Peer):
@@ -66,11 +70,11 @@
                 if late not in peers:
                     await asyncio.sleep(0)
                     peers[late] = None
-                    sharing.peer_came()
+                    broadcaster.schedule()
 
         peers[First()] = None
-        sharing.peer_came()
-        await sharing.task
+        broadcaster.schedule()
+        await broadcaster.task
         return late
 
     assert len(asyncio.run(scenario()).taken) == 1
@@ -99,7 +103,7 @@
             return self.data
 
         async def __aenter__(self):
-            return await other.take_over(self)
+            return await other.handle_take_over(self)
 
         async def __aexit__(self, *_):
             return None
@@ -111,7 +115,7 @@
     async def scenario():
         made = make_roster(session=types.SimpleNamespace(post=post))
         made.add(["w:1"], ["a:1", "b:1", "c:1", "old:1"])
-        return await made.ask_strong(3, without="old:1")
+        return await made.request_take_over(3, without="old:1")
 
     assert asyncio.run(scenario()) is known
     assert calls == asked
--- a/packages/cicadafold/src/cicadafold/platform/job_server.py
+++ b/packages/cicadafold/src/cicadafold/platform/job_server.py
@@ -78,7 +78,9 @@
                 remedy="Try again.",
                 retry_after_ms=1000,
             )
-        rule = self.routes.find(request.headers.get("Host", ""), request.path)
+        rule = self.routes.find_queue(
+            request.headers.get("Host", ""), request.path
+        )
         if rule is None:
             return web.json_response({"error": "no such queue"}, status=404)
         job = request.path[len(rule.prefix) :]
--- a/packages/cicadafold/src/cicadafold/service/caller_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/caller_calls.py
@@ -280,7 +280,7 @@
     timeout = aiohttp.ClientTimeout(total=PEER_TIMEOUT_S)
     try:
         async with node.session.get(
-            url, timeout=timeout, headers=node.links_headers()
+            url, timeout=timeout, headers=node.peer_headers()
         ) as reply:
             return await reply.read() if reply.status == 200 else None
     except (aiohttp.ClientError, TimeoutError, OSError):
--- a/packages/cicadafold/src/cicadafold/settings/cell.py
+++ b/packages/cicadafold/src/cicadafold/settings/cell.py
@@ -47,6 +47,6 @@
     link_mbps: float
 
     @property
-    def strength(self):
+    def election_priority(self):
         """How well the host can carry a scheduler; larger is better."""
         return self.cores * min(1.0, self.link_mbps / AMPLE_LINK_MBPS)
