--- a/packages/cicadafold/src/cicadafold/platform/record_codec.py
+++ b/packages/cicadafold/src/cicadafold/platform/record_codec.py
@@ -17,7 +17,7 @@
     """Returns the body of an append.
 
     Examples:
-        >>> join_records([b"ab"])
+        >>> encode_records([b"ab"])
         b'\\x00\\x00\\x00\\x02ab'
     """
     parts = []
@@ -54,7 +54,7 @@
     """Returns a record of a keyed topic; no value drops the key.
 
     Examples:
-        >>> keyed_record("a", b"bc")
+        >>> encode_keyed_record("a", b"bc")
         b'\\x01abc'
     """
     name = key.encode()
@@ -65,7 +65,7 @@
     """Splits a record of a keyed topic into key and value.
 
     Examples:
-        >>> split_keyed(b"\\x01abc")
+        >>> decode_keyed_record(b"\\x01abc")
         ('a', b'bc')
     """
     if not record:
--- a/packages/cicadafold/src/cicadafold/platform/wire.py
+++ b/packages/cicadafold/src/cicadafold/platform/wire.py
@@ -305,7 +305,7 @@
     """Returns a task's name as the workers spell it.
 
     Examples:
-        >>> task_text(model.TaskName("ab", 0, 1, 17))
+        >>> format_task_name(model.TaskName("ab", 0, 1, 17))
         'ab.0.1.17'
     """
     return f"{name.job}.{name.occurrence}.{name.step}.{name.index}"
