--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/mutants.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/mutants.py
@@ -16,11 +16,11 @@
 
 import msgspec
 
-from cicadafold.dispatch import ends
-from cicadafold.dispatch import inheritance
+from cicadafold.dispatch import inherited_runs
 from cicadafold.dispatch import job_table
 from cicadafold.dispatch import runs
 from cicadafold.dispatch import term
+from cicadafold.dispatch import worker_events
 from cicadafold.dispatch import worker_link
 from cicadafold.election import terms
 from cicadafold.journal import progress
@@ -48,7 +48,7 @@
 @mutant
 def numbers_are_sent_always():
     """Acknowledges ends also long after the last answer."""
-    worker_link.WorkerLink.number_to_send = lambda self, now_ms: (
+    worker_link.WorkerLink.acknowledgement_to_send = lambda self, now_ms: (
         self.worker.acknowledged
     )
 
@@ -62,7 +62,7 @@
 @mutant
 def stalls_are_not_noticed():
     """Goes on after a freeze where it stopped."""
-    term.Term.steady = lambda self: True
+    term.Term.commands_allowed = lambda self: True
 
 
 @mutant
@@ -76,17 +76,17 @@
 @mutant
 def closed_work_is_acknowledged():
     """Acknowledges ends of closed work before the close is recorded."""
-    ends.WorkerEvents.of_closed_work = lambda self, end: 0
+    worker_events.WorkerEventHandler.on_closed_task_end = lambda self, end: 0
 
 
 @mutant
 def lost_orders_are_forgotten():
     """Takes an order without an answer for one that was not carried out."""
 
-    def on_lost_order(self, run, error):
-        self.events.vanished(self.worker, run, "unreachable")
+    def on_unconfirmed_start(self, run, error):
+        self.events.on_run_gone(self.worker, run, "unreachable")
 
-    worker_link.WorkerLink.on_lost_order = on_lost_order
+    worker_link.WorkerLink.on_unconfirmed_start = on_unconfirmed_start
 
 
 @mutant
@@ -102,7 +102,7 @@
 @mutant
 def unanswering_workers_are_not_inherited():
     """Starts tasks in a new term before all workers have told theirs."""
-    inheritance.Inheritance.settled = lambda self, pool: True
+    inherited_runs.InheritedRuns.all_runs_known = lambda self, pool: True
 
 
 @mutant
@@ -133,29 +133,29 @@
 @mutant
 def final_states_are_shown_at_once():
     """Shows a job's end before it is recorded."""
-    state_of = term.Term.state_of
+    state_of = term.Term.job_state
 
     def at_once(self, job_id):
-        job = self.table.jobs.get(job_id)
+        job = self.job_table.jobs.get(job_id)
         if job is not None and job.state.final:
             return job.state
         return state_of(self, job_id)
 
-    term.Term.state_of = at_once
+    term.Term.job_state = at_once
 
 
 @mutant
 def rooms_are_given_back_when_stopped():
     """Gives back the room of a run as soon as its stop is answered."""
-    stop_once = worker_link.WorkerLink.stop_once
+    stop_once = worker_link.WorkerLink.send_stop
 
     async def at_once(self, run):
         settled = await stop_once(self, run)
         if settled:
-            self.events.vanished(self.worker, run, "stopped")
+            self.events.on_run_gone(self.worker, run, "stopped")
         return settled
 
-    worker_link.WorkerLink.stop_once = at_once
+    worker_link.WorkerLink.send_stop = at_once
 
 
 def main():
--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -160,7 +160,7 @@
     def on_configuration(self, configuration):
         """Hands a new configuration to the term."""
         if self.term is not None:
-            self.term.table.configure(configuration)
+            self.term.job_table.configure(configuration)
 
     def on_claim(self, claim):
         """Begins or ends a term as the newest claim says."""
@@ -177,14 +177,14 @@
             number=claim.term,
             store=self.store,
             registry=registry.RegistrySource(store=self.store),
-            make_calls=self.make_calls,
-            advice_lines=self.advice_lines,
+            make_client=self.make_calls,
+            list_peers=self.advice_lines,
             configuration=self.routes,
-            confirm=lambda: self.claims.read_once(wait_ms=0),
+            read_newest_claim=lambda: self.claims.read_once(wait_ms=0),
             longest_lease_ms=settings.longest_lease_ms,
             status_s=settings.status_s,
             uses_advice=bool(settings.advice_address),
-            strength=settings.strength,
+            election_priority=settings.strength,
             metrics=self.metrics,
         )
         self.term = term
--- a/packages/cicadafold/src/cicadafold/dispatch/handover.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/handover.py
@@ -29,12 +29,14 @@
         begun_ms: Monotonic time of the term's begin.
     """
 
-    def __init__(self, *, term, store, lines, strength, begun_ms):
+    def __init__(
+        self, *, term, store, list_peers, election_priority, term_started_ms
+    ):
         self.term = term
         self.store = store
-        self.lines = lines
-        self.strength = strength
-        self.begun_ms = begun_ms
+        self.list_peers = list_peers
+        self.election_priority = election_priority
+        self.term_started_ms = term_started_ms
 
     async def run(self):
         """Looks for a better host again and again.
@@ -49,7 +51,7 @@
                 peer = await self.find_successor()
             else:
                 reason = "a much stronger host takes over"
-                peer = await self.find_stronger()
+                peer = await self.find_preferred_peer()
             if peer is None:
                 continue
             LOG.warning(
@@ -69,7 +71,7 @@
         The store must have answered the peer after it began to fail here;
         otherwise it is down for all, and the term goes on.
         """
-        lines = [line for line in self.lines() if line.store_age_ms]
+        lines = [line for line in self.list_peers() if line.store_age_ms]
         ages = await asyncio.gather(*(line.store_age_ms() for line in lines))
         failing_ms = clock.monotonic_ms() - self.store.failing_since_ms
         served = [
@@ -79,11 +81,11 @@
         ]
         return max(served, key=lambda line: line.strength, default=None)
 
-    async def find_stronger(self):
+    async def find_preferred_peer(self):
         """Returns the line of a much stronger peer, or None."""
-        age_ms = clock.monotonic_ms() - self.begun_ms
-        least = self.strength * STRONGER_FACTOR
-        lines = [x for x in self.lines() if x.strength >= least]
+        age_ms = clock.monotonic_ms() - self.term_started_ms
+        least = self.election_priority * STRONGER_FACTOR
+        lines = [x for x in self.list_peers() if x.strength >= least]
         if not lines or age_ms < CALM_MS:
             return None
         line = max(lines, key=lambda line: line.strength)
--- a/packages/cicadafold/src/cicadafold/dispatch/inheritance.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/inherited_runs.py
@@ -11,7 +11,7 @@
 from cicadafold.journal import records
 from cicadafold.telemetry import logs
 
-__all__ = ["Inheritance"]
+__all__ = ["InheritedRuns"]
 
 # The registry is whole again this long after an outage of the store.
 REGISTRY_BACK_MS = 2300.0
@@ -22,7 +22,7 @@
 LOG = logs.get_logger("inherit")
 
 
-class Inheritance:
+class InheritedRuns:
     """Tells which inherited tasks may still run somewhere.
 
     Args:
@@ -37,36 +37,36 @@
         suspects: Tasks that may run on a worker that has not answered.
     """
 
-    def __init__(self, *, workers, store, begun_ms, lease_ms):
+    def __init__(self, *, workers, store, term_started_ms, lease_ms):
         self.workers = workers
         self.store = store
-        self.over_ms = (
-            begun_ms + lease_ms * runs.SLOW_CLOCK + runs.LAPSE_MARGIN_MS
+        self.leases_lapsed_ms = (
+            term_started_ms + lease_ms * runs.SLOW_CLOCK + runs.LAPSE_MARGIN_MS
         )
-        self.begun_ms = begun_ms
-        self.recorded = False
+        self.term_started_ms = term_started_ms
+        self.has_record = False
         self.open_names = set()
-        self.suspects = {}
-        self.settled_pools = set()
+        self.possible_runs = {}
+        self.known_pools = set()
 
-    def take(self, known, table):
+    def load(self, known, job_table):
         """Takes the record of the last term.
 
         Args:
             known: Record of the workers, or None.
             table: Jobs, whose suspect tasks have to wait.
         """
-        self.recorded = known is not None
+        self.has_record = known is not None
         for worker in known.workers if known else ():
             if worker.tasks is None:
                 self.open_names.add(worker.report.id)
                 continue
-            tasks = list(filter(None, map(table.find, worker.tasks)))
-            self.suspects[worker.report.id] = tasks
+            tasks = list(filter(None, map(job_table.find, worker.tasks)))
+            self.possible_runs[worker.report.id] = tasks
             for task in tasks:
-                task.not_before_ms = self.over_ms
+                task.not_before_ms = self.leases_lapsed_ms
 
-    def record(self):
+    def worker_records(self):
         """Returns the record of all workers for the next term."""
         return [
             records.KnownWorker(worker.report, self.possible_tasks(worker))
@@ -82,58 +82,60 @@
         """
         answers = worker.silent_since_ms is None
         if not worker.report.draining and (
-            answers or not (worker.closed or self.long_silent(worker))
+            answers or not (worker.closed or self.is_long_silent(worker))
         ):
             return None
         if worker.fenced:
             return [run.name for run in worker.runs.values()]
         # It has not answered in this term; the last one's list holds.
-        suspects = self.suspects.get(worker.report.id)
-        if suspects is None:
+        possible_runs = self.possible_runs.get(worker.report.id)
+        if possible_runs is None:
             return None
-        return [task.name for task in suspects]
+        return [task.name for task in possible_runs]
 
-    def long_silent(self, worker):
+    def is_long_silent(self, worker):
         """Whether a worker is silent, and not just for one lost answer."""
         if worker.silent_since_ms is None:
             return False
         silent_ms = clock.monotonic_ms() - worker.silent_since_ms
         return silent_ms >= LONG_SILENT_MS
 
-    def answered(self, name):
+    def on_worker_answered(self, name):
         """Releases the tasks of a worker that has given its list."""
-        for task in self.suspects.pop(name, ()):
+        for task in self.possible_runs.pop(name, ()):
             task.not_before_ms = 0.0
 
-    def settled(self, pool):
+    def all_runs_known(self, pool):
         """Whether no worker of a pool may run tasks that are unknown."""
-        if pool in self.settled_pools:
+        if pool in self.known_pools:
             return True
         now_ms = clock.monotonic_ms()
-        if now_ms < self.over_ms and self.open(pool, now_ms):
+        if now_ms < self.leases_lapsed_ms and self.has_unknown_runs(
+            pool, now_ms
+        ):
             return False
-        self.settled_pools.add(pool)
+        self.known_pools.add(pool)
         LOG.info(
             "All workers of a pool are accounted for.",
             fields={
                 "pool": pool,
-                "took_ms": round(now_ms - self.begun_ms),
+                "took_ms": round(now_ms - self.term_started_ms),
                 "unanswered": sum(
                     not worker.fenced for worker in self.workers.values()
                 ),
-                "suspects": len(self.suspects),
+                "suspects": len(self.possible_runs),
             },
         )
         return True
 
-    def open(self, pool, now_ms):
+    def has_unknown_runs(self, pool, now_ms):
         """Whether a worker of a pool has not been accounted for."""
         outage_ms = now_ms - self.store.failed_ms
-        if outage_ms < REGISTRY_BACK_MS and not self.recorded:
+        if outage_ms < REGISTRY_BACK_MS and not self.has_record:
             return True
         return any(
             worker.report.pool == pool
             and not worker.fenced
-            and name not in self.suspects
+            and name not in self.possible_runs
             for name, worker in self.workers.items()
         )
--- a/packages/cicadafold/src/cicadafold/dispatch/pacing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/pacing.py
@@ -10,7 +10,7 @@
 __all__ = ["Pacer", "next_pace"]
 
 PERIOD_S = 0.5
-ORDER_TIMEOUT_S = 0.7
+COMMAND_TIMEOUT_S = 0.7
 # Shares of the target above which fills are slowed, below which they gain.
 HIGH_SHARE = 0.85
 LOW_SHARE = 0.6
@@ -80,8 +80,8 @@
     async def order(self, link, run, percent, tightest):
         """Orders one pace."""
         try:
-            await link.calls.pace(
-                run.name, run.attempt, percent, timeout_s=ORDER_TIMEOUT_S
+            await link.client.pace(
+                run.name, run.attempt, percent, timeout_s=COMMAND_TIMEOUT_S
             )
         except exception.TargetUnreachable as error:
             LOG.debug("A pace was not answered: %s", error)
--- a/packages/cicadafold/src/cicadafold/dispatch/placing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/placing.py
@@ -328,7 +328,7 @@
         task = run.task
         if not self.steady():
             # Placed before a stall of this process; nothing was sent.
-            link.events.vanished(worker, run, "stalled")
+            link.events.on_run_gone(worker, run, "stalled")
             return
         order = worker_calls.StartOrder(
             name=task.name,
--- a/packages/cicadafold/src/cicadafold/dispatch/registry_tail.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/registry_tail.py
@@ -25,10 +25,10 @@
         on_gone: Function called with the name of a worker that is gone.
     """
 
-    def __init__(self, *, source, on_report, on_gone):
+    def __init__(self, *, source, on_report, on_removed):
         self.source = source
         self.on_report = on_report
-        self.on_gone = on_gone
+        self.on_removed = on_removed
         self.names = set()
         self.read_ms = None
         self.failing_since_ms = None
@@ -49,11 +49,11 @@
             if self.failing_since_ms is not None:
                 LOG.info("The registry is read again.")
                 self.failing_since_ms = None
-            self.take(changes)
+            self.apply(changes)
             self.ready.set()
             await asyncio.sleep(PAUSE_S)
 
-    def take(self, changes):
+    def apply(self, changes):
         """Takes changed reports; None in place of one means gone."""
         for name, report in changes.items():
             if report is not None:
@@ -61,4 +61,4 @@
                 self.on_report(report)
             elif name in self.names:
                 self.names.discard(name)
-                self.on_gone(name)
+                self.on_removed(name)
--- a/packages/cicadafold/src/cicadafold/dispatch/steadiness.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/stall_detector.py
@@ -11,7 +11,7 @@
 from cicadafold import exception
 from cicadafold.telemetry import logs
 
-__all__ = ["Steadiness"]
+__all__ = ["StallDetector"]
 
 TICK_S = 0.1
 # Longer than a busy moment; other processes need longer to take over from
@@ -21,7 +21,7 @@
 LOG = logs.get_logger("term")
 
 
-class Steadiness:
+class StallDetector:
     """Tells whether this process has run without a stall.
 
     Args:
@@ -33,16 +33,16 @@
         confirmed: Whether the newest claim was read since the last stall.
     """
 
-    def __init__(self, *, confirm, on_steady):
-        self.confirm = confirm
-        self.on_steady = on_steady
+    def __init__(self, *, read_newest_claim, on_resumed):
+        self.read_newest_claim = read_newest_claim
+        self.on_resumed = on_resumed
         self.ticked_ms = clock.monotonic_ms()
-        self.confirmed = True
+        self.claim_checked = True
 
-    def steady(self):
+    def commands_allowed(self):
         """Whether orders may be given."""
         stalled_ms = clock.monotonic_ms() - self.ticked_ms
-        return self.confirmed and stalled_ms <= STALL_MS
+        return self.claim_checked and stalled_ms <= STALL_MS
 
     async def run(self):
         """Watches for as long as the term lasts."""
@@ -50,24 +50,24 @@
             await asyncio.sleep(TICK_S)
             stalled_ms = clock.monotonic_ms() - self.ticked_ms
             if stalled_ms > STALL_MS:
-                self.confirmed = False
+                self.claim_checked = False
                 LOG.warning(
                     "The process stood still.",
                     fields={"stalled_ms": round(stalled_ms)},
                 )
-                await self.reconfirm()
+                await self.check_newest_claim()
             self.ticked_ms = clock.monotonic_ms()
 
-    async def reconfirm(self):
+    async def check_newest_claim(self):
         """Reads the newest claim; one of a later term ends this one.
 
         If the store does not answer, no other process could claim either,
         as far as can be known here.
         """
         try:
-            await self.confirm()
+            await self.read_newest_claim()
         except (exception.LogUnavailable, exception.LinkLost) as error:
             LOG.warning("The newest claim cannot be read: %s", error)
         self.ticked_ms = clock.monotonic_ms()
-        self.confirmed = True
-        self.on_steady()
+        self.claim_checked = True
+        self.on_resumed()
--- a/packages/cicadafold/src/cicadafold/dispatch/term.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/term.py
@@ -5,15 +5,15 @@
 from cicadafold import clock
 from cicadafold.dispatch import advising
 from cicadafold.dispatch import dropping
-from cicadafold.dispatch import ends
 from cicadafold.dispatch import handover
-from cicadafold.dispatch import inheritance
+from cicadafold.dispatch import inherited_runs
 from cicadafold.dispatch import job_table
 from cicadafold.dispatch import pacing
 from cicadafold.dispatch import placing
-from cicadafold.dispatch import steadiness
-from cicadafold.dispatch import unknown
+from cicadafold.dispatch import stall_detector
+from cicadafold.dispatch import unknown_job_runs
 from cicadafold.dispatch import watching
+from cicadafold.dispatch import worker_events
 from cicadafold.dispatch import worker_link
 from cicadafold.dispatch import worker_table
 from cicadafold import exception
@@ -28,7 +28,7 @@
 
 __all__ = ["Term", "TermEnded"]
 
-STEADY_TAIL_S = 1.6
+MAX_TAIL_AGE_S = 1.6
 # A recovery that takes longer is left to another process.
 RECOVERY_MS = 3500.0
 # Hosts follow a new term within this time.
@@ -65,34 +65,35 @@
         number,
         store,
         registry,
-        make_calls,
-        advice_lines,
+        make_client,
+        list_peers,
         configuration,
-        confirm,
+        read_newest_claim,
         longest_lease_ms,
         status_s,
         uses_advice,
-        strength,
+        election_priority,
         metrics,
     ):
         self.number = number
         self.store = store
         self.configuration = configuration
         self.uses_advice = uses_advice
-        self.advice_lines = advice_lines
+        self.list_peers = list_peers
         self.metrics = metrics
-        self.lease = worker_link.LeaseTimes(longest_ms=longest_lease_ms)
-        self.begun_ms = clock.monotonic_ms()
-        self.tails = []
+        self.lease = worker_link.LeaseTimes(max_lease_ms=longest_lease_ms)
+        self.started_ms = clock.monotonic_ms()
+        self.job_tails = []
         self.journal_state = None
         self.ready = False
-        self.steadiness = steadiness.Steadiness(
-            confirm=confirm, on_steady=lambda: self.placer.wake()
+        self.stall_detector = stall_detector.StallDetector(
+            read_newest_claim=read_newest_claim,
+            on_resumed=lambda: self.placer.wake(),
         )
-        self.over = asyncio.Event()
-        self.reason = ""
-        self.learned = estimates.Estimates()
-        self.group = None
+        self.ended = asyncio.Event()
+        self.end_reason = ""
+        self.estimates = estimates.Estimates()
+        self.task_group = None
         self.journal = progress_module.ProgressWriter(
             store=store,
             term=number,
@@ -103,53 +104,53 @@
             store=store,
             journal=self.journal,
             status_s=status_s,
-            forget=self.forget,
+            forget=self.forget_job,
         )
-        self.cell = worker_table.WorkerTable(
+        self.worker_table = worker_table.WorkerTable(
             term=number,
             registry=registry,
-            make_calls=make_calls,
+            make_client=make_client,
             lease=self.lease,
             journal=self.journal,
-            begun_ms=self.begun_ms,
+            term_started_ms=self.started_ms,
         )
-        self.inheritance = inheritance.Inheritance(
-            workers=self.cell.workers,
+        self.inherited_runs = inherited_runs.InheritedRuns(
+            workers=self.worker_table.workers,
             store=store,
-            begun_ms=self.begun_ms,
+            term_started_ms=self.started_ms,
             lease_ms=self.lease.lease_ms,
         )
         self.handover = handover.Handover(
             term=number,
             store=store,
-            lines=advice_lines,
-            strength=strength,
-            begun_ms=self.begun_ms,
+            list_peers=list_peers,
+            election_priority=election_priority,
+            term_started_ms=self.started_ms,
         )
-        self.table = job_table.JobTable(
+        self.job_table = job_table.JobTable(
             journal=self.journal,
-            learned=self.learned,
+            learned=self.estimates,
             stop_run=lambda run: self.events.stop_run(run),
             metrics=metrics,
         )
 
     def on_durable(self, states):
         """Shows the states that are recorded now."""
-        self.table.on_durable(states)
+        self.job_table.on_durable(states)
         for job, state in states:
             if state.final:
                 self.dropper.add(job.spec.id)
 
-    def forget(self, job_id):
+    def forget_job(self, job_id):
         """Forgets a job that nobody asks for any more."""
-        self.table.forget(job_id)
+        self.job_table.forget(job_id)
         self.journal_state.forget(job_id)
 
     def step_down(self, reason):
         """Ends the term for good."""
-        if not self.over.is_set():
-            self.reason = reason
-            self.over.set()
+        if not self.ended.is_set():
+            self.end_reason = reason
+            self.ended.set()
 
     async def run(self):
         """Runs the term until a later one begins.
@@ -159,11 +160,11 @@
         """
         LOG.info("The term begins.", fields={"term": self.number})
         try:
-            async with asyncio.TaskGroup() as group:
-                self.group = group
-                self.build()
-                group.create_task(self.until_over())
-                group.create_task(self.serve())
+            async with asyncio.TaskGroup() as task_group:
+                self.task_group = task_group
+                self.create_components()
+                task_group.create_task(self.raise_when_ended())
+                task_group.create_task(self.recover_and_run())
         except* TermEnded as ended:
             LOG.info(
                 "The term ends: %s.",
@@ -172,117 +173,121 @@
             )
         finally:
             self.ready = False
-            self.cell.close()
+            self.worker_table.close()
 
-    def build(self):
+    def create_components(self):
         """Makes the parts that need the task group."""
-        self.events = ends.WorkerEvents(
-            table=self.table,
-            learned=self.learned,
-            group=self.group,
+        self.events = worker_events.WorkerEventHandler(
+            job_table=self.job_table,
+            estimates=self.estimates,
+            task_group=self.task_group,
             wake=lambda: self.placer.wake(),
             step_down=self.step_down,
-            on_workers=self.cell.on_answer,
-            unknown=unknown.UnknownWork(caught_up=self.caught_up),
+            on_answering_changed=self.worker_table.on_answering_changed,
+            unknown_runs=unknown_job_runs.UnknownJobRuns(
+                has_read_up_to=self.has_read_up_to
+            ),
             metrics=self.metrics,
         )
-        self.events.links = self.cell.links
+        self.events.links = self.worker_table.links
         self.placer = placing.Placer(
             term=self.number,
-            table=self.table,
-            learned=self.learned,
-            workers=self.cell.workers,
-            links=self.cell.links,
-            settled=self.inheritance.settled,
-            steady=self.steady,
-            spawn=self.group.create_task,
+            table=self.job_table,
+            learned=self.estimates,
+            workers=self.worker_table.workers,
+            links=self.worker_table.links,
+            settled=self.inherited_runs.all_runs_known,
+            steady=self.commands_allowed,
+            spawn=self.task_group.create_task,
             lease=self.lease,
             metrics=self.metrics,
         )
         if self.uses_advice:
             self.placer.desk = advising.AdviceDesk(
-                lines=self.advice_lines,
-                spawn=self.group.create_task,
+                lines=self.list_peers,
+                spawn=self.task_group.create_task,
                 wake=self.placer.wake,
                 learn=self.placer.tickets.learn,
                 metrics=self.metrics,
             )
-        self.group.create_task(self.steadiness.run())
-        self.cell.events = self.events
-        self.cell.inheritance = self.inheritance
-        self.cell.spawn = self.group.create_task
-        self.cell.wake = self.placer.wake
+        self.task_group.create_task(self.stall_detector.run())
+        self.worker_table.events = self.events
+        self.worker_table.inherited_runs = self.inherited_runs
+        self.worker_table.spawn = self.task_group.create_task
+        self.worker_table.wake = self.placer.wake
         self.watcher = watching.Watcher(
-            workers=self.cell.workers,
-            table=self.table,
+            workers=self.worker_table.workers,
+            table=self.job_table,
             events=self.events,
         )
 
-    async def until_over(self):
+    async def raise_when_ended(self):
         """Ends the task group when the term is over."""
-        await self.over.wait()
-        raise TermEnded(self.reason)
+        await self.ended.wait()
+        raise TermEnded(self.end_reason)
 
-    async def serve(self):
+    async def recover_and_run(self):
         """Recovers what earlier terms left, then gives orders."""
-        spawn = self.group.create_task
-        spawn(self.cell.registry.run())
-        spawn(self.hand_over())
+        spawn = self.task_group.create_task
+        spawn(self.worker_table.registry.run())
+        spawn(self.run_handover())
         try:
             await progress_module.fence_partitions(self.store, self.number)
         except exception.LogFenced as error:
             raise TermEnded("a later term has fenced the journal") from error
         state = await reading.read_journal(self.store)
         self.journal_state = state
-        self.table.rules = self.configuration.rules()
-        self.restore(state)
+        self.job_table.rules = self.configuration.rules()
+        self.restore_jobs(state)
         spawn(self.write_progress())
         for partition in range(accepting.PARTITIONS):
             tail = reading.JobsTail(
                 store=self.store,
                 partition=partition,
                 state=state,
-                on_job=self.on_job,
+                on_job=self.on_job_changed,
             )
-            self.tails.append(tail)
+            self.job_tails.append(tail)
             spawn(tail.run())
-        await self.cell.registry.ready.wait()
-        self.inheritance.take(state.workers, self.table)
-        self.cell.add_recorded(state.workers)
-        self.cell.open_known()
-        spawn(self.cell.open_recorded())
-        spawn(self.cell.record())
-        self.cell.start_links()
+        await self.worker_table.registry.ready.wait()
+        self.inherited_runs.load(state.workers, self.job_table)
+        self.worker_table.add_inherited(state.workers)
+        self.worker_table.open_inherited()
+        spawn(self.worker_table.open_when_recorded())
+        spawn(self.worker_table.record_changes())
+        self.worker_table.start_links()
         self.ready = True
         spawn(self.placer.run())
         spawn(self.watcher.run())
         spawn(self.dropper.run())
-        pacer = pacing.Pacer(workers=self.cell.workers, links=self.cell.links)
+        pacer = pacing.Pacer(
+            workers=self.worker_table.workers, links=self.worker_table.links
+        )
         spawn(pacer.run())
         LOG.info(
             "The term gives orders.",
             fields={
                 "term": self.number,
-                "jobs": len(self.table.jobs),
-                "active": len(self.table.active),
-                "workers": len(self.cell.workers),
-                "took_ms": round(clock.monotonic_ms() - self.begun_ms),
+                "jobs": len(self.job_table.jobs),
+                "active": len(self.job_table.active),
+                "workers": len(self.worker_table.workers),
+                "took_ms": round(clock.monotonic_ms() - self.started_ms),
             },
         )
 
-    def restore(self, state):
+    def restore_jobs(self, state):
         """Takes the jobs of the journal."""
         for job, spec in state.specs.items():
-            self.table.restore(
+            self.job_table.restore(
                 spec, state.progress.get(job), cancelled=job in state.cancelled
             )
         for job, progress in state.progress.items():
             if job not in state.specs:
-                self.table.restore_ended(job, progress)
+                self.job_table.restore_ended(job, progress)
                 self.dropper.add(job)
         self.dropper.homes = state.homes
 
-    async def hand_over(self):
+    async def run_handover(self):
         """Ends the term when another process takes it over."""
         self.step_down(await self.handover.run())
 
@@ -293,20 +298,20 @@
         except exception.LogFenced as error:
             raise TermEnded("a later term has fenced the journal") from error
 
-    def on_accepted(self, spec):
+    def on_job_accepted(self, spec):
         """Takes a job from the host that has accepted it."""
         if self.ready and spec.id not in self.journal_state.specs:
             self.journal_state.specs[spec.id] = spec
             # Its host follows this term, so no other scheduler knows it.
-            self.on_job(spec.id, told=True)
+            self.on_job_changed(spec.id, told=True)
 
-    def on_cancelled(self, job_id):
+    def on_job_cancelled(self, job_id):
         """Takes a cancelling from the host that has recorded it."""
         if self.ready and job_id not in self.journal_state.cancelled:
             self.journal_state.cancelled.add(job_id)
-            self.on_job(job_id)
+            self.on_job_changed(job_id)
 
-    def on_job(self, job_id, *, told=False):
+    def on_job_changed(self, job_id, *, told=False):
         """Takes a new or cancelled job.
 
         Args:
@@ -314,17 +319,17 @@
             told: Whether the host that accepted it told this process.
         """
         state = self.journal_state
-        job = self.table.jobs.get(job_id)
+        job = self.job_table.jobs.get(job_id)
         spec = state.specs.get(job_id)
-        if job_id in self.table.ended:
+        if job_id in self.job_table.ended:
             # It came again after its end; its record is dropped again.
             self.dropper.add(job_id)
             return
         if job is None and spec is not None:
             # A host may still have told the last scheduler of it.
-            age_ms = clock.monotonic_ms() - self.begun_ms
+            age_ms = clock.monotonic_ms() - self.started_ms
             inherited = not told and age_ms < INHERITED_MS
-            job = self.table.add(spec, inherited=inherited)
+            job = self.job_table.add(spec, inherited=inherited)
             LOG.info(
                 "A job is known.",
                 fields={
@@ -335,12 +340,12 @@
                     "age_ms": round(clock.monotonic_ms() - job.arrived_ms),
                 },
             )
-            self.events.job_known(job_id)
+            self.events.on_job_known(job_id)
         if job is not None and job_id in state.cancelled:
-            self.table.cancel(job)
+            self.job_table.cancel(job)
         self.placer.wake()
 
-    def state_of(self, job_id):
+    def job_state(self, job_id):
         """Returns the state shown for a job, None if there is none.
 
         Raises:
@@ -348,10 +353,10 @@
         """
         if not self.ready:
             raise asking.starting()
-        ended = self.table.ended.get(job_id)
+        ended = self.job_table.ended.get(job_id)
         if ended is not None:
             return ended
-        job = self.table.jobs.get(job_id)
+        job = self.job_table.jobs.get(job_id)
         if job is not None:
             if job.shown.final:
                 return job.shown
@@ -360,39 +365,41 @@
                 if job.started
                 else model.JobState.QUEUED
             )
-        if not self.reads_jobs():
+        if not self.jobs_up_to_date():
             raise asking.starting()
         return None
 
-    def reads_jobs(self):
+    def jobs_up_to_date(self):
         """Whether newly accepted jobs are known without much delay."""
         now_s = asyncio.get_running_loop().time()
         return all(
-            now_s - tail.read_at_s <= STEADY_TAIL_S for tail in self.tails
+            now_s - tail.read_at_s <= MAX_TAIL_AGE_S for tail in self.job_tails
         )
 
-    def steady(self):
+    def commands_allowed(self):
         """Whether orders may be given: no stall, and no later term."""
-        return not self.over.is_set() and self.steadiness.steady()
+        return (
+            not self.ended.is_set() and self.stall_detector.commands_allowed()
+        )
 
-    def caught_up(self, since_ms):
+    def has_read_up_to(self, since_ms):
         """Whether all jobs have been read that were recorded at a time.
 
         Args:
             since_ms: Monotonic time in milliseconds.
         """
         since_s = since_ms / clock.MILLISECONDS
-        return all(tail.whole_from_s > since_s for tail in self.tails)
+        return all(tail.whole_from_s > since_s for tail in self.job_tails)
 
     def health(self):
         """Returns what this term says of itself to peers."""
-        if self.over.is_set():
+        if self.ended.is_set():
             return messages.Health.NO_TERM
         now_ms = clock.monotonic_ms()
         if self.ready:
-            well = self.reads_jobs()
+            well = self.jobs_up_to_date()
         else:
-            well = now_ms - self.begun_ms < RECOVERY_MS
+            well = now_ms - self.started_ms < RECOVERY_MS
         return messages.Health.WELL if well else messages.Health.UNWELL
 
     def pending(self, queue):
@@ -401,6 +408,6 @@
         Raises:
             Starting: The journal is not read to its end.
         """
-        if not self.ready or not self.reads_jobs():
+        if not self.ready or not self.jobs_up_to_date():
             raise asking.starting()
-        return self.table.pending(queue)
+        return self.job_table.pending(queue)
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_handover.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_handover.py
@@ -36,7 +36,7 @@
         lines = [line(age_ms) for age_ms in ages]
         since_ms = clock.monotonic_ms() - failing_ms
         holder = types.SimpleNamespace(
-            lines=lambda: lines,
+            list_peers=lambda: lines,
             store=types.SimpleNamespace(failing_since_ms=since_ms),
         )
         chosen = await handover.Handover.find_successor(holder)
@@ -60,11 +60,11 @@
     async def scenario():
         lines = [line(10.0, strength) for strength in strengths]
         holder = types.SimpleNamespace(
-            lines=lambda: lines,
-            begun_ms=clock.monotonic_ms() - age_ms,
-            strength=1.0,
+            list_peers=lambda: lines,
+            term_started_ms=clock.monotonic_ms() - age_ms,
+            election_priority=1.0,
         )
-        chosen = await handover.Handover.find_stronger(holder)
+        chosen = await handover.Handover.find_preferred_peer(holder)
         assert chosen is (None if found is None else lines[found])
 
     asyncio.run(scenario())
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_job_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_job_table.py
@@ -5,10 +5,10 @@
 import msgspec
 import pytest
 
-from cicadafold.dispatch import ends
 from cicadafold.dispatch import job_table
 from cicadafold.dispatch import runs
-from cicadafold.dispatch import unknown
+from cicadafold.dispatch import unknown_job_runs
+from cicadafold.dispatch import worker_events
 from cicadafold.jobs import model
 from cicadafold.journal import records
 from cicadafold.scheduling import estimates
@@ -45,14 +45,16 @@
         caught_up: Whether the journal has been read to its end.
         stopped: List that takes the runs that are stopped.
     """
-    events = ends.WorkerEvents(
-        table=table,
-        learned=table.learned,
-        group=None,
+    events = worker_events.WorkerEventHandler(
+        job_table=table,
+        estimates=table.learned,
+        task_group=None,
         wake=lambda: None,
         step_down=None,
-        on_workers=None,
-        unknown=unknown.UnknownWork(caught_up=lambda since_ms: caught_up),
+        on_answering_changed=None,
+        unknown_runs=unknown_job_runs.UnknownJobRuns(
+            has_read_up_to=lambda since_ms: caught_up
+        ),
         metrics=table.metrics,
     )
     events.stop_run = ([] if stopped is None else stopped).append
@@ -127,9 +129,9 @@
     events = make_events(table)
     end = model.End(1, second.name, 1, model.EndKind.DONE, "")
     worker = types.SimpleNamespace(report=types.SimpleNamespace(id="w"))
-    assert events.ended(worker, end, None) == 1
+    assert events.on_end(worker, end, None) == 1
     table.on_durable([(job, job.state)])
-    assert events.ended(worker, end, None) == 0
+    assert events.on_end(worker, end, None) == 0
 
 
 def test_run_of_a_job_not_read_yet_is_kept_and_adopted(spec, worker):
@@ -141,12 +143,12 @@
     stopped = []
     events = make_events(table, caught_up=False, stopped=stopped)
     name = model.TaskName(spec.id, 0, 0, 1)
-    events.unexpected(worker, model.TaskRow(name, 7, "", 30.0, 0.0))
-    events.stop_unknown()
+    events.on_unexpected_run(worker, model.TaskRow(name, 7, "", 30.0, 0.0))
+    events.stop_unknown_runs()
     assert not stopped
     assert worker.view().cores_milli == 0
     job = table.add(spec)
-    events.job_known(spec.id)
+    events.on_job_known(spec.id)
     task = job.occurrence(0)[0].tasks[1]
     assert [run.attempt for run in task.runs] == [7]
     assert worker.view().cores_milli == 15000
@@ -159,10 +161,10 @@
     stopped = []
     events = make_events(table, stopped=stopped)
     name = model.TaskName(spec.id, 0, 0, 1)
-    events.unexpected(worker, model.TaskRow(name, 7, "", 30.0, 0.0))
-    events.stop_unknown()
+    events.on_unexpected_run(worker, model.TaskRow(name, 7, "", 30.0, 0.0))
+    events.stop_unknown_runs()
     assert [run.key for run in stopped] == [(name, 7)]
-    events.stop_unknown()
+    events.stop_unknown_runs()
     assert len(stopped) == 1
 
 
@@ -180,4 +182,4 @@
         table.add(spec)
     name = model.TaskName(spec.id, 0, 0, 1)
     end = model.End(1, name, 1, model.EndKind.DONE, "")
-    assert events.ended(worker, end, None) == batch
+    assert events.on_end(worker, end, None) == batch
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_steadiness.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_stall_detector.py
@@ -8,7 +8,7 @@
 from cicadafold import clock
 from cicadafold.dispatch import placing
 from cicadafold.dispatch import runs
-from cicadafold.dispatch import steadiness
+from cicadafold.dispatch import stall_detector
 from cicadafold.dispatch import term
 from cicadafold import exception
 
@@ -28,7 +28,7 @@
     """The clock of the product, moved by the test."""
     made = Time()
     monkeypatch.setattr(clock, "monotonic_ms", made)
-    monkeypatch.setattr(steadiness, "TICK_S", 0.0)
+    monkeypatch.setattr(stall_detector, "TICK_S", 0.0)
     return made
 
 
@@ -40,17 +40,18 @@
     """A stall is seen before anything is done, and a read ends it."""
     said = []
 
-    async def confirm():
-        said.append(watch.steady())
+    async def read_newest_claim():
+        said.append(watch.commands_allowed())
         if error is not None:
             raise error
 
-    watch = steadiness.Steadiness(
-        confirm=confirm, on_steady=lambda: said.append("steady")
+    watch = stall_detector.StallDetector(
+        read_newest_claim=read_newest_claim,
+        on_resumed=lambda: said.append("steady"),
     )
-    assert watch.steady()
-    time.now_ms += steadiness.STALL_MS + 1.0
-    assert not watch.steady()
+    assert watch.commands_allowed()
+    time.now_ms += stall_detector.STALL_MS + 1.0
+    assert not watch.commands_allowed()
 
     async def scenario():
         task = asyncio.create_task(watch.run())
@@ -60,14 +61,16 @@
 
     asyncio.run(scenario())
     assert said == [False, "steady"]
-    assert watch.steady()
+    assert watch.commands_allowed()
 
 
 def test_short_pauses_are_no_stall(time):
     """A busy moment holds nothing up."""
-    watch = steadiness.Steadiness(confirm=None, on_steady=None)
-    time.now_ms += steadiness.STALL_MS - 1.0
-    assert watch.steady()
+    watch = stall_detector.StallDetector(
+        read_newest_claim=None, on_resumed=None
+    )
+    time.now_ms += stall_detector.STALL_MS - 1.0
+    assert watch.commands_allowed()
 
 
 @pytest.mark.parametrize("over", [False, True])
@@ -75,10 +78,12 @@
 def test_term_gives_orders_only_while_it_is_steady(over, still):
     """A term that is over, or stood still, gives none."""
     found = types.SimpleNamespace(
-        over=types.SimpleNamespace(is_set=lambda: over),
-        steadiness=types.SimpleNamespace(steady=lambda: not still),
+        ended=types.SimpleNamespace(is_set=lambda: over),
+        stall_detector=types.SimpleNamespace(
+            commands_allowed=lambda: not still
+        ),
     )
-    assert term.Term.steady(found) is not (over or still)
+    assert term.Term.commands_allowed(found) is not (over or still)
 
 
 def test_run_that_was_placed_before_a_stall_is_not_ordered(report):
@@ -86,7 +91,9 @@
     gone = []
     worker = runs.Worker(report=report, now_ms=0.0)
     run = types.SimpleNamespace(worker=worker, task=None)
-    events = types.SimpleNamespace(vanished=lambda *found: gone.append(found))
+    events = types.SimpleNamespace(
+        on_run_gone=lambda *found: gone.append(found)
+    )
     placer = placing.Placer(
         term=1,
         table=None,
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cicadafold import clock
-from cicadafold.dispatch import inheritance
+from cicadafold.dispatch import inherited_runs
 from cicadafold.dispatch import runs
 from cicadafold.dispatch import watching
 from cicadafold.dispatch import worker_link
@@ -47,19 +47,19 @@
         self.tasks = []
         self.deferred = set()
 
-    def ended(self, worker, end, run):
+    def on_end(self, worker, end, run):
         """Takes an end; batch 3 will record it."""
         if end.number in self.deferred:
             return None
         self.ends.append(end.number)
         return 3
 
-    def vanished(self, worker, run, reason):
+    def on_run_gone(self, worker, run, reason):
         """Takes a run that is gone."""
         self.gone.append((run, reason))
         worker.remove(run)
 
-    def unexpected(self, worker, row):
+    def on_unexpected_run(self, worker, row):
         """Ignores a run of an earlier term."""
 
     def expected_ms(self, run):
@@ -70,13 +70,13 @@
         """Notes that a run should be stopped."""
         self.gone.append((run, "stop"))
 
-    def silent(self, worker):
+    def on_silent(self, worker):
         """Ignores that a worker is silent."""
 
-    def answering(self, worker):
+    def on_answering(self, worker):
         """Ignores that a worker answers."""
 
-    def changed(self):
+    def on_capacity_changed(self):
         """Ignores that room may be free."""
 
     def spawn(self, work):
@@ -116,8 +116,8 @@
     worker = runs.Worker(report=report, now_ms=clock.monotonic_ms())
     return worker_link.WorkerLink(
         worker=worker,
-        calls=FakeCalls(),
-        lease=worker_link.LeaseTimes(longest_ms=6000.0),
+        client=FakeCalls(),
+        lease=worker_link.LeaseTimes(max_lease_ms=6000.0),
         events=FakeEvents(),
         journal=FakeJournal(),
     )
@@ -145,14 +145,14 @@
     end = model.End(
         1, job.steps[0][0].tasks[0].name, 1, model.EndKind.DONE, ""
     )
-    link.calls.inventory = worker_calls.Inventory(1000, 1, [], [end])
+    link.client.inventory = worker_calls.Inventory(1000, 1, [], [end])
     asyncio.run(link.renew(wait=True))
     asyncio.run(link.renew(wait=True))
     assert link.events.ends == [1]
-    assert not link.acknowledge()
+    assert not link.acknowledge_recorded()
     assert link.worker.acknowledged == 0
     link.journal.durable_batch = 3
-    assert link.acknowledge()
+    assert link.acknowledge_recorded()
     assert link.worker.acknowledged == 1
 
 
@@ -162,7 +162,7 @@
     doubtful = add_run(link, job, State.DOUBTFUL)
     doubtful.uncertain = True
     running = add_run(link, job, State.RUNNING, 1)
-    link.calls.inventory = worker_calls.Inventory(5, 2, [], [])
+    link.client.inventory = worker_calls.Inventory(5, 2, [], [])
     asyncio.run(link.renew(wait=True))
     assert link.events.gone == [(running, "reborn")]
     assert doubtful.key in link.worker.runs
@@ -178,7 +178,7 @@
     gone = add_run(link, job, State.STOPPING, 1)
     gone.uncertain = True
     link.worker.remove(gone)
-    link.calls.inventory = worker_calls.Inventory(5, 2, [], [])
+    link.client.inventory = worker_calls.Inventory(5, 2, [], [])
     asyncio.run(link.renew(wait=True))
     assert link.events.gone == []
     states = {run.state for run in link.worker.runs.values()}
@@ -193,17 +193,17 @@
     asyncio.run(link.renew(wait=True))
     run = add_run(link, job, State.RUNNING)
     error = exception.TargetUnreachable(message="Silent.", sent=True)
-    link.on_silence(error)
+    link.on_no_answer(error)
     assert link.events.gone == []
     assert not link.worker.usable(clock.monotonic_ms())
-    link.calls.silent = True
+    link.client.silent = True
     with pytest.raises(exception.TargetUnreachable):
         asyncio.run(link.renew(wait=False))
-    assert link.calls.deadlines[-1] is None
+    assert link.client.deadlines[-1] is None
     lapse_ms = link.worker.lapse_at_ms
     assert lapse_ms - clock.monotonic_ms() > link.lease.lease_ms
     monkeypatch.setattr(clock, "monotonic_ms", lambda: lapse_ms + 1)
-    link.on_silence(error)
+    link.on_no_answer(error)
     assert link.events.gone == [(run, "lapsed")]
 
 
@@ -276,54 +276,54 @@
     """A worker that was silent before the term holds up its tasks only."""
     now_ms = clock.monotonic_ms()
     first, second = job.steps[0][0].tasks
-    held = inheritance.Inheritance(
+    held = inherited_runs.InheritedRuns(
         workers={"w": link.worker},
         store=types.SimpleNamespace(failed_ms=-1e12),
-        begun_ms=now_ms,
+        term_started_ms=now_ms,
         lease_ms=6000.0,
     )
-    assert not held.settled("p")
+    assert not held.all_runs_known("p")
     add_run(link, job, State.DOUBTFUL)
     link.worker.silent(now_ms, 6000.0)
     link.worker.fenced = True
-    known = records.KnownWorkers(1, 1, held.record())
+    known = records.KnownWorkers(1, 1, held.worker_records())
     link.worker.fenced = False
     table = types.SimpleNamespace(find=job.find)
-    held.take(known, table)
-    assert held.settled("p")
+    held.load(known, table)
+    assert held.all_runs_known("p")
     assert first.not_before_ms > now_ms + 6000.0
     assert second.not_before_ms == 0.0
     # Silent since before this term: the last list is handed on.
-    assert held.record()[0].tasks == [first.name]
-    held.answered("w")
+    assert held.worker_records()[0].tasks == [first.name]
+    held.on_worker_answered("w")
     assert first.not_before_ms == 0.0
 
 
 def test_unknown_worker_holds_up_its_pool_until_leases_end(link, monkeypatch):
     """A worker that answers nobody may run any inherited task."""
     now_ms = clock.monotonic_ms()
-    held = inheritance.Inheritance(
+    held = inherited_runs.InheritedRuns(
         workers={"w": link.worker},
         store=types.SimpleNamespace(failed_ms=-1e12),
-        begun_ms=now_ms,
+        term_started_ms=now_ms,
         lease_ms=6000.0,
     )
-    held.take(None, None)
-    assert not held.settled("p")
+    held.load(None, None)
+    assert not held.all_runs_known("p")
     monkeypatch.setattr(clock, "monotonic_ms", lambda: now_ms + 6300.0)
-    assert held.settled("p")
+    assert held.all_runs_known("p")
 
 
 def test_silent_worker_without_a_list_is_recorded_as_unknown(link):
     """A worker that never answered this term has no list of its own."""
-    held = inheritance.Inheritance(
+    held = inherited_runs.InheritedRuns(
         workers={"w": link.worker},
         store=types.SimpleNamespace(failed_ms=-1e12),
-        begun_ms=clock.monotonic_ms(),
+        term_started_ms=clock.monotonic_ms(),
         lease_ms=6000.0,
     )
     link.worker.silent(clock.monotonic_ms(), 6000.0)
-    assert held.record()[0].tasks is None
+    assert held.worker_records()[0].tasks is None
 
 
 def test_end_that_cannot_be_handled_holds_back_later_ones(link):
@@ -333,7 +333,7 @@
         model.End(number, name, number, model.EndKind.DONE, "")
         for number in (1, 2, 3)
     ]
-    link.calls.inventory = worker_calls.Inventory(1000, 1, [], found)
+    link.client.inventory = worker_calls.Inventory(1000, 1, [], found)
     link.events.deferred = {2}
     asyncio.run(link.renew(wait=False))
     assert link.events.ends == [1]
@@ -348,14 +348,14 @@
     """A renewal that a later life takes acknowledges nothing there."""
     asyncio.run(link.renew(wait=True))
     link.worker.acknowledged = 5
-    link.calls.silent = True
+    link.client.silent = True
     for wait in (True, False):
         with pytest.raises(exception.TargetUnreachable):
             asyncio.run(link.renew(wait=wait))
-    link.calls.silent = False
+    link.client.silent = False
     for wait in (False, True, True):
         asyncio.run(link.renew(wait=wait))
-    assert link.calls.acknowledged == [0, 5, 0, 0, 5, 0]
+    assert link.client.acknowledged == [0, 5, 0, 0, 5, 0]
 
 
 def test_number_is_not_sent_long_after_the_last_answer(link):
@@ -365,7 +365,7 @@
     link.worker.clock.seen_ms -= 1000.0
     for _ in range(2):
         asyncio.run(link.renew(wait=True))
-    assert link.calls.acknowledged == [0, 0, 5]
+    assert link.client.acknowledged == [0, 0, 5]
 
 
 @pytest.mark.parametrize(
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_table.py
@@ -4,7 +4,7 @@
 import types
 
 from cicadafold import clock
-from cicadafold.dispatch import inheritance
+from cicadafold.dispatch import inherited_runs
 from cicadafold.dispatch import worker_link
 from cicadafold.dispatch import worker_table
 from cicadafold.journal import records
@@ -43,15 +43,15 @@
     table = worker_table.WorkerTable(
         term=2,
         registry=None,
-        make_calls=lambda report, term: None,
-        lease=worker_link.LeaseTimes(longest_ms=6000.0),
+        make_client=lambda report, term: None,
+        lease=worker_link.LeaseTimes(max_lease_ms=6000.0),
         journal=journal,
-        begun_ms=now_ms,
+        term_started_ms=now_ms,
     )
-    table.inheritance = inheritance.Inheritance(
+    table.inherited_runs = inherited_runs.InheritedRuns(
         workers=table.workers,
         store=types.SimpleNamespace(failed_ms=-1e12),
-        begun_ms=now_ms,
+        term_started_ms=now_ms,
         lease_ms=3600.0,
     )
     table.events = types.SimpleNamespace(spawn=None)
@@ -62,8 +62,8 @@
 async def settle(table, journal):
     """Records the workers and makes the record durable."""
     journal.advanced = asyncio.Event()
-    table.note(table.inheritance.record())
-    opening = asyncio.create_task(table.open_recorded())
+    table.record_workers(table.inherited_runs.worker_records())
+    opening = asyncio.create_task(table.open_when_recorded())
     await asyncio.sleep(0)
     journal.advance()
     await asyncio.sleep(0)
@@ -93,10 +93,10 @@
     asyncio.run(settle(table, journal))
     now_ms = clock.monotonic_ms()
     worker.silent(now_ms, 6000.0)
-    table.note(table.inheritance.record())
+    table.record_workers(table.inherited_runs.worker_records())
     assert not worker.closed
     monkeypatch.setattr(clock, "monotonic_ms", lambda: now_ms + 900.0)
-    table.note(table.inheritance.record())
+    table.record_workers(table.inherited_runs.worker_records())
     assert worker.closed
     assert journal.listed[0].tasks == []
     worker.answered()
@@ -110,6 +110,6 @@
     table, _ = make_table()
     known = records.KnownWorkers(1, 1, [records.KnownWorker(report)])
     table.add(report)
-    table.inheritance.take(known, types.SimpleNamespace(find=None))
-    table.open_known()
+    table.inherited_runs.load(known, types.SimpleNamespace(find=None))
+    table.open_inherited()
     assert not table.workers["w"].closed
--- a/packages/cicadafold/src/cicadafold/dispatch/unknown.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/unknown_job_runs.py
@@ -8,10 +8,10 @@
 
 from cicadafold import clock
 
-__all__ = ["UnknownWork"]
+__all__ = ["UnknownJobRuns"]
 
 
-class UnknownWork:
+class UnknownJobRuns:
     """Keeps listed work until its job's record must have been read.
 
     Args:
@@ -24,19 +24,19 @@
         runs: Runs with the rows that listed them, by job and key.
     """
 
-    def __init__(self, *, caught_up):
-        self.caught_up = caught_up
+    def __init__(self, *, has_read_up_to):
+        self.has_read_up_to = has_read_up_to
         self.first_ms = {}
         self.runs = {}
 
-    def waits(self, key):
+    def may_become_known(self, key):
         """Whether the record of listed work may still come.
 
         Args:
             key: Name and attempt.
         """
         first_ms = self.first_ms.setdefault(key, clock.monotonic_ms())
-        if not self.caught_up(first_ms):
+        if not self.has_read_up_to(first_ms):
             return True
         del self.first_ms[key]
         return False
@@ -46,16 +46,16 @@
         self.first_ms.setdefault(run.key, clock.monotonic_ms())
         self.runs.setdefault(run.name.job, {})[run.key] = (run, row)
 
-    def take(self, job):
+    def pop_job(self, job):
         """Returns the runs of a job that is known now, with their rows."""
         return list(self.runs.pop(job, {}).values())
 
-    def take_settled(self):
+    def pop_without_record(self):
         """Returns the runs whose job has no record, and forgets them."""
         found = []
         for job, kept in list(self.runs.items()):
             for key, (run, _) in list(kept.items()):
-                if not self.waits(key):
+                if not self.may_become_known(key):
                     found.append(run)
                     del kept[key]
             if not kept:
--- a/packages/cicadafold/src/cicadafold/dispatch/watching.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/watching.py
@@ -51,7 +51,7 @@
             await asyncio.sleep(PERIOD_S)
             now_ms = clock.monotonic_ms()
             self.measure(now_ms)
-            self.events.stop_unknown()
+            self.events.stop_unknown_runs()
             for worker in list(self.workers.values()):
                 self.look_at(worker, now_ms)
                 self.move_from(worker, now_ms)
--- a/packages/cicadafold/src/cicadafold/dispatch/ends.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
@@ -5,7 +5,7 @@
 from cicadafold.jobs import model
 from cicadafold.telemetry import logs
 
-__all__ = ["WorkerEvents"]
+__all__ = ["WorkerEventHandler"]
 
 # A worker on which runs of this many jobs have failed in a row, with no
 # success between them, gets no new runs for a while.
@@ -23,7 +23,7 @@
 State = runs.RunState
 
 
-class WorkerEvents:
+class WorkerEventHandler:
     """Receives what the worker links notice.
 
     Args:
@@ -40,59 +40,59 @@
     def __init__(
         self,
         *,
-        table,
-        learned,
-        group,
+        job_table,
+        estimates,
+        task_group,
         wake,
         step_down,
-        on_workers,
-        unknown,
+        on_answering_changed,
+        unknown_runs,
         metrics,
     ):
-        self.table = table
-        self.learned = learned
-        self.group = group
+        self.job_table = job_table
+        self.estimates = estimates
+        self.task_group = task_group
         self.wake = wake
         self.step_down = step_down
-        self.on_workers = on_workers
-        self.unknown = unknown
+        self.on_answering_changed = on_answering_changed
+        self.unknown_runs = unknown_runs
         self.metrics = metrics
         self.links = {}
 
     def spawn(self, work):
         """Runs a coroutine as a task of the term."""
-        self.group.create_task(work)
+        self.task_group.create_task(work)
 
     def expected_ms(self, run):
         """Returns the expected duration of a run, None if it has none."""
         task = run.task
         if task is None or task.step.spec.lasting or task.step.spec.fills:
             return None
-        return self.learned.step_ms(task.step)
+        return self.estimates.step_ms(task.step)
 
-    def changed(self):
+    def on_capacity_changed(self):
         """Notes that room may have become free."""
         self.wake()
 
-    def fenced(self, worker):
+    def on_fenced(self, worker):
         """Notes that a worker has met a later term."""
         self.step_down(f"worker {worker.report.id} has a higher fence")
 
-    def silent(self, worker):
+    def on_silent(self, worker):
         """Notes that a worker does not answer."""
-        self.on_workers(worker, answers=False)
+        self.on_answering_changed(worker, answers=False)
 
-    def answering(self, worker):
+    def on_answering(self, worker):
         """Notes that a worker answers for the first time, or again."""
-        self.on_workers(worker, answers=True)
+        self.on_answering_changed(worker, answers=True)
 
     def stop_run(self, run):
         """Stops a run through the link of its worker."""
         link = self.links.get(run.worker.report.id)
         if link is not None:
-            link.stop_soon(run)
+            link.schedule_stop(run)
 
-    def ended(self, worker, end, run):
+    def on_end(self, worker, end, run):
         """Applies an end.
 
         Returns:
@@ -100,10 +100,12 @@
             None if the end has to be handled later.
         """
         key = (end.name, end.attempt)
-        if self.table.unknown(end.name) and self.unknown.waits(key):
+        if self.job_table.unknown(
+            end.name
+        ) and self.unknown_runs.may_become_known(key):
             return None
         self.metrics.count("runs_ended", kind=end.kind.value)
-        task = None if end.name is None else self.table.find(end.name)
+        task = None if end.name is None else self.job_table.find(end.name)
         LOG.info(
             "A run has ended: %s.",
             end.kind.value,
@@ -119,58 +121,60 @@
             },
         )
         if task is None:
-            return self.of_closed_work(end)
+            return self.on_closed_task_end(end)
         task.save(end.checkpoint, run.percent if run else LEAST_PERCENT)
         if task.step.spec.lasting:
-            return self.lasting_ended(task)
+            return self.on_lasting_task_end(task)
         if end.kind is Kind.DONE:
-            return self.done(worker, task, run)
+            return self.on_task_done(worker, task, run)
         if end.kind is Kind.FAILED:
-            return self.failed(worker, task, end)
+            return self.on_task_failed(worker, task, end)
         if task.step.spec.gang and not task.step.job.state.final:
             self.restart_gang(task.step, end.attempt)
         return 0
 
-    def of_closed_work(self, end):
+    def on_closed_task_end(self, end):
         """Handles an end of work that is not open any more.
 
         A gang's other members, and copies, end after their occurrence was
         closed. Their ends are acknowledged only once that is recorded, as
         the next scheduler would start the work again otherwise.
         """
-        job = None if end.name is None else self.table.jobs.get(end.name.job)
+        job = (
+            None if end.name is None else self.job_table.jobs.get(end.name.job)
+        )
         if job is None or job.shown.final:
             return 0
-        return self.table.journal.change(job)
+        return self.job_table.journal.change(job)
 
-    def lasting_ended(self, task):
+    def on_lasting_task_end(self, task):
         """Lets a lasting task start again, however it ended."""
         task.not_before_ms = clock.monotonic_ms() + RESTART_PAUSE_MS
         return 0
 
-    def done(self, worker, task, run):
+    def on_task_done(self, worker, task, run):
         """Applies a success."""
         worker.faults = 0
         worker.faulty_jobs = frozenset()
         if run is not None and not task.done:
             ran_ms = clock.monotonic_ms() - run.started_ms
             if not task.checkpoint:
-                self.learned.learn(task.step.job.spec.queue, ran_ms)
-        return self.table.task_done(task)
+                self.estimates.learn(task.step.job.spec.queue, ran_ms)
+        return self.job_table.task_done(task)
 
-    def failed(self, worker, task, end):
+    def on_task_failed(self, worker, task, end):
         """Applies a failure, and judges the worker by it."""
         if not task.step.avoid - {worker.report.id}:
             # A step that failed elsewhere before may be at fault itself.
-            self.judge(worker, task.step.job.spec.id)
+            self.quarantine_if_faulty(worker, task.step.job.spec.id)
         task.step.avoid.add(worker.report.id)
         if task.done:
             return 0
         if task.step.spec.gang:
             self.restart_gang(task.step, end.attempt)
-        return self.table.task_failed(task, end.attempt)
+        return self.job_table.task_failed(task, end.attempt)
 
-    def judge(self, worker, job):
+    def quarantine_if_faulty(self, worker, job):
         """Keeps new runs from a worker on which many jobs fail."""
         worker.faulty_jobs = worker.faulty_jobs | {job}
         # After a pause, one failure without a success is enough.
@@ -200,7 +204,7 @@
                 if run.attempt == attempt:
                     self.stop_run(run)
 
-    def vanished(self, worker, run, reason):
+    def on_run_gone(self, worker, run, reason):
         """Notes that a run is proved gone without an end."""
         worker.remove(run)
         LOG.info(
@@ -217,13 +221,13 @@
             task.not_before_ms = clock.monotonic_ms() + RESTART_PAUSE_MS
         self.wake()
 
-    def unexpected(self, worker, row):
+    def on_unexpected_run(self, worker, row):
         """Adopts a run of an earlier term, or stops it."""
         if row.name is None:
             return
-        task = self.table.find(row.name)
-        job = self.table.jobs.get(row.name.job)
-        room = job_room(job, row.name, worker)
+        task = self.job_table.find(row.name)
+        job = self.job_table.jobs.get(row.name.job)
+        room = task_resources(job, row.name, worker)
         now_ms = clock.monotonic_ms()
         run = runs.Run(
             task=task,
@@ -236,8 +240,8 @@
         )
         run.answered_ms = now_ms
         run.percent = row.percent
-        if self.table.unknown(row.name):
-            self.keep_unknown(worker, run, row)
+        if self.job_table.unknown(row.name):
+            self.keep_unknown_run(worker, run, row)
             return
         keep = (
             task is not None
@@ -263,10 +267,10 @@
         if not keep:
             self.stop_run(run)
 
-    def keep_unknown(self, worker, run, row):
+    def keep_unknown_run(self, worker, run, row):
         """Leaves a run alone until its job's record must have been read."""
         worker.add(run)
-        self.unknown.add(run, row)
+        self.unknown_runs.add(run, row)
         LOG.info(
             "A run of a job that is not known yet is kept.",
             fields={
@@ -276,16 +280,16 @@
             },
         )
 
-    def job_known(self, job_id):
+    def on_job_known(self, job_id):
         """Adopts or stops the runs of a job that was not known."""
-        for run, row in self.unknown.take(job_id):
+        for run, row in self.unknown_runs.pop_job(job_id):
             if run.key in run.worker.runs:
                 run.worker.remove(run)
-                self.unexpected(run.worker, row)
+                self.on_unexpected_run(run.worker, row)
 
-    def stop_unknown(self):
+    def stop_unknown_runs(self):
         """Stops the runs whose job has no record."""
-        for run in self.unknown.take_settled():
+        for run in self.unknown_runs.pop_without_record():
             LOG.warning(
                 "A run of an unknown job is stopped.",
                 fields=runs.run_fields(run),
@@ -293,7 +297,7 @@
             self.stop_run(run)
 
 
-def job_room(job, name, worker):
+def task_resources(job, name, worker):
     """Returns the room of a task, its worker's if it is not known."""
     if job is None or not 0 <= name.step < len(job.spec.steps):
         return worker.report.capacity
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -18,19 +18,19 @@
 RENEW_WAIT_MS = 700
 # An answer takes one round trip, at most some tens of milliseconds.
 ANSWER_SLACK_S = 0.6
-ORDER_TIMEOUT_S = 0.7
-SILENT_PAUSE_S = 0.2
+COMMAND_TIMEOUT_S = 0.7
+NO_ANSWER_PAUSE_S = 0.2
 # Longest wait for the journal before the lease is renewed again.
 RECORD_WAIT_S = 0.25
 # Shortest time between two reports from which a rate is taken.
-LEAST_RATED_MS = 150.0
+MIN_MEASURED_MS = 150.0
 WHOLE_PERCENT = 100.0
 STOP_PAUSE_S = 0.1
 # The journal's tail is read a few times a second.
 DEFERRED_PAUSE_S = 0.1
 # A worker does not start anew and end a task in so short a time; a record
 # usually takes less.
-FRESH_MS = 150.0
+MAX_ANSWER_AGE_MS = 150.0
 
 LOG = logs.get_logger("worker")
 
@@ -47,9 +47,9 @@
     # and a dead worker's tasks start again soon.
     SHARE = 0.6
 
-    def __init__(self, *, longest_ms):
-        self.longest_ms = longest_ms
-        self.lease_ms = longest_ms * self.SHARE
+    def __init__(self, *, max_lease_ms):
+        self.max_lease_ms = max_lease_ms
+        self.lease_ms = max_lease_ms * self.SHARE
 
 
 class WorkerLink:
@@ -71,42 +71,42 @@
         confirmed: Highest acknowledgement that the worker has answered.
     """
 
-    def __init__(self, *, worker, calls, lease, events, journal):
+    def __init__(self, *, worker, client, lease, events, journal):
         self.worker = worker
-        self.calls = calls
+        self.client = client
         self.lease = lease
         self.events = events
         self.journal = journal
         self.closed = False
-        self.deferred = False
-        self.confirmed = 0
+        self.ends_deferred = False
+        self.confirmed_number = 0
 
     async def run(self):
         """Renews the lease until the link is closed."""
         while not self.closed:
-            self.acknowledge()
+            self.acknowledge_recorded()
             silent = self.worker.silent_since_ms is not None
             try:
                 await self.renew(wait=not silent)
             except exception.TargetUnreachable as error:
-                self.on_silence(error)
-                await asyncio.sleep(SILENT_PAUSE_S)
+                self.on_no_answer(error)
+                await asyncio.sleep(NO_ANSWER_PAUSE_S)
                 continue
             if self.worker.unrecorded:
                 await self.wait_for_journal()
-            elif self.deferred:
+            elif self.ends_deferred:
                 await asyncio.sleep(DEFERRED_PAUSE_S)
 
     async def wait_for_journal(self):
         """Waits until ends are recorded, for a bounded time."""
         try:
             async with asyncio.timeout(RECORD_WAIT_S):
-                while not self.acknowledge():
+                while not self.acknowledge_recorded():
                     await self.journal.advanced.wait()
         except TimeoutError:
             return
 
-    def acknowledge(self):
+    def acknowledge_recorded(self):
         """Advances over the ends that are recorded.
 
         Returns:
@@ -130,21 +130,21 @@
         if wait and worker.clock.seen_ms is not None:
             wait_ms = 0 if worker.unrecorded else RENEW_WAIT_MS
             deadline_ms = worker.lease_until(self.lease.lease_ms, sent_ms)
-        acknowledged = self.number_to_send(sent_ms) if wait else 0
-        found = await self.calls.renew(
+        acknowledged = self.acknowledgement_to_send(sent_ms) if wait else 0
+        found = await self.client.renew(
             acknowledged=acknowledged,
             deadline_ms=deadline_ms,
             wait_ms=wait_ms,
             timeout_s=wait_ms / MILLISECONDS + ANSWER_SLACK_S,
         )
         if isinstance(found, Result):
-            self.on_refusal(found)
+            self.on_renewal_refused(found)
             return
         self.on_inventory(found, sent_ms)
         if found.born_ms == born_ms:
-            self.confirmed = max(self.confirmed, acknowledged)
+            self.confirmed_number = max(self.confirmed_number, acknowledged)
 
-    def number_to_send(self, now_ms):
+    def acknowledgement_to_send(self, now_ms):
         """Returns the number up to which ends may be forgotten, 0 for none.
 
         A renewal that a later life carries out must not acknowledge ends of
@@ -152,23 +152,23 @@
         after an answer of the life that it counts in.
         """
         worker = self.worker
-        if worker.acknowledged <= self.confirmed:
+        if worker.acknowledged <= self.confirmed_number:
             return 0
-        if now_ms - worker.clock.seen_ms > FRESH_MS:
+        if now_ms - worker.clock.seen_ms > MAX_ANSWER_AGE_MS:
             return 0
         return worker.acknowledged
 
-    def on_refusal(self, result):
+    def on_renewal_refused(self, result):
         """Handles a renewal that was refused."""
         if result is Result.FENCED:
-            self.events.fenced(self.worker)
+            self.events.on_fenced(self.worker)
             self.closed = True
             return
         raise exception.TargetUnreachable(
             message=f"The renewal was refused: {result.value}.", sent=False
         )
 
-    def on_silence(self, error):
+    def on_no_answer(self, error):
         """Handles a renewal without an answer."""
         worker = self.worker
         now_ms = clock.monotonic_ms()
@@ -178,8 +178,8 @@
                 error,
                 fields={"worker": worker.report.id, "runs": len(worker.runs)},
             )
-            self.events.silent(worker)
-        worker.silent(now_ms, self.lease.longest_ms)
+            self.events.on_silent(worker)
+        worker.silent(now_ms, self.lease.max_lease_ms)
         if now_ms >= worker.lapse_at_ms and not worker.lapsed:
             worker.lapsed = True
             LOG.warning(
@@ -187,8 +187,8 @@
                 fields={"worker": worker.report.id, "runs": len(worker.runs)},
             )
             for run in list(worker.runs.values()):
-                self.events.vanished(worker, run, "lapsed")
-            self.events.changed()
+                self.events.on_run_gone(worker, run, "lapsed")
+            self.events.on_capacity_changed()
 
     def on_inventory(self, found, sent_ms):
         """Takes the lists of a worker."""
@@ -203,19 +203,19 @@
         ended = {(end.name, end.attempt) for end in found.ends}
         listed = {(row.name, row.attempt) for row in found.rows} | ended
         if worker.born_ms not in (None, found.born_ms):
-            self.on_new_life(found, listed, sent_ms)
+            self.on_new_incarnation(found, listed, sent_ms)
         if not worker.fenced or worker.silent_since_ms is not None:
-            self.events.answering(worker)
+            self.events.on_answering(worker)
         worker.born_ms = found.born_ms
         worker.clock.update(found.clock_ms, at_ms=now_ms)
         worker.answered()
         worker.fenced = True
-        self.deferred = not all(map(self.take_end, found.ends))
-        self.take_rows(found.rows, now_ms)
-        self.drop_missing(listed, sent_ms)
-        self.events.changed()
+        self.ends_deferred = not all(map(self.apply_end, found.ends))
+        self.apply_progress(found.rows, now_ms)
+        self.remove_missing(listed, sent_ms)
+        self.events.on_capacity_changed()
 
-    def on_new_life(self, found, listed, sent_ms):
+    def on_new_incarnation(self, found, listed, sent_ms):
         """Handles that the worker has started anew.
 
         Args:
@@ -229,7 +229,7 @@
             fields={"worker": worker.report.id, "born_ms": found.born_ms},
         )
         worker.reset_counts()
-        self.confirmed = 0
+        self.confirmed_number = 0
         worker.deadline_ms = 0
         now_ms = clock.monotonic_ms()
         for run in worker.take_late_orders(now_ms):
@@ -244,11 +244,11 @@
             if run.uncertain or run.state is State.STARTING:
                 run.state = State.DOUBTFUL
                 run.stopped_ms = None
-                self.stop_soon(run)
+                self.schedule_stop(run)
             else:
-                self.events.vanished(worker, run, "reborn")
+                self.events.on_run_gone(worker, run, "reborn")
 
-    def take_end(self, end):
+    def apply_end(self, end):
         """Handles an end once.
 
         Returns:
@@ -260,7 +260,7 @@
         run = worker.runs.get((end.name, end.attempt))
         if run is not None:
             run.uncertain = False
-        batch = self.events.ended(worker, end, run)
+        batch = self.events.on_end(worker, end, run)
         if batch is None:
             return False
         worker.seen = end.number
@@ -269,19 +269,19 @@
         worker.unrecorded.append((end.number, batch))
         return True
 
-    def take_rows(self, rows, now_ms):
+    def apply_progress(self, rows, now_ms):
         """Takes the progress of the running tasks."""
         for row in rows:
             run = self.worker.runs.get((row.name, row.attempt))
             if run is None:
-                self.events.unexpected(self.worker, row)
+                self.events.on_unexpected_run(self.worker, row)
                 continue
             run.uncertain = False
             if run.state in (State.STARTING, State.DOUBTFUL):
                 run.state = State.RUNNING
                 run.answered_ms = now_ms
             first = run.rated_ms is None
-            self.rate(run, row, now_ms)
+            self.measure_speed(run, row, now_ms)
             run.reading = row.reading
             if first or row.percent > run.percent:
                 run.percent_ms = now_ms
@@ -289,10 +289,10 @@
             if run.task is not None:
                 run.task.save(row.checkpoint, row.percent)
 
-    def rate(self, run, row, now_ms):
+    def measure_speed(self, run, row, now_ms):
         """Takes the rate of a run's progress as one of its worker's."""
         before_ms, before = run.rated_ms, run.percent
-        if before_ms is not None and now_ms - before_ms < LEAST_RATED_MS:
+        if before_ms is not None and now_ms - before_ms < MIN_MEASURED_MS:
             return
         run.rated_ms = now_ms
         if before_ms is None or row.percent >= WHOLE_PERCENT:
@@ -304,35 +304,37 @@
             rate = gained * expected_ms / (now_ms - before_ms)
             self.worker.meter.observe(run.name.job, rate, now_ms)
 
-    def drop_missing(self, listed, sent_ms):
+    def remove_missing(self, listed, sent_ms):
         """Drops runs that the worker had before this call and has not now."""
         for run in list(self.worker.runs.values()):
             if run.key in listed:
                 continue
             if run.stopped_ms is not None and run.stopped_ms < sent_ms:
-                self.events.vanished(self.worker, run, "stopped")
+                self.events.on_run_gone(self.worker, run, "stopped")
             elif (
                 run.state is State.RUNNING
                 and run.answered_ms is not None
                 and run.answered_ms < sent_ms
             ):
-                self.events.vanished(self.worker, run, "missing")
+                self.events.on_run_gone(self.worker, run, "missing")
 
-    async def start(self, run, order):
+    async def start(self, run, command):
         """Orders a run and notes what became of the order.
 
         Returns:
             Result of the order; None if it was not answered.
         """
         try:
-            result = await self.calls.start(order, timeout_s=ORDER_TIMEOUT_S)
+            result = await self.client.start(
+                command, timeout_s=COMMAND_TIMEOUT_S
+            )
         except exception.TargetUnreachable as error:
             LOG.warning(
                 "A start was not answered: %s",
                 error,
                 fields=runs.run_fields(run),
             )
-            self.on_lost_order(run, error)
+            self.on_unconfirmed_start(run, error)
             return None
         now_ms = clock.monotonic_ms()
         if result is Result.TAKEN:
@@ -340,7 +342,7 @@
                 run.state = State.RUNNING
             run.answered_ms = now_ms
             if run.stop_wanted:
-                self.stop_soon(run)
+                self.schedule_stop(run)
             return result
         LOG.info(
             "A start was refused: %s.",
@@ -348,22 +350,22 @@
             fields=runs.run_fields(run),
         )
         if result is Result.FENCED:
-            self.events.fenced(self.worker)
+            self.events.on_fenced(self.worker)
         if run.key in self.worker.runs and run.state is State.STARTING:
-            self.events.vanished(self.worker, run, result.value)
+            self.events.on_run_gone(self.worker, run, result.value)
         return result
 
-    def on_lost_order(self, run, error):
+    def on_unconfirmed_start(self, run, error):
         """Keeps the room of an order that may be carried out later."""
         if not error.sent and run.state is State.STARTING:
-            self.events.vanished(self.worker, run, "unreachable")
+            self.events.on_run_gone(self.worker, run, "unreachable")
             return
         if run.state is State.STARTING:
             run.state = State.DOUBTFUL
             run.uncertain = True
-            self.stop_soon(run)
+            self.schedule_stop(run)
 
-    def stop_soon(self, run):
+    def schedule_stop(self, run):
         """Stops a run in a task of its own."""
         run.stop_wanted = True
         if run.stopping:
@@ -375,26 +377,26 @@
         """Sends a stop until it is answered or the run is gone."""
         try:
             while run.key in self.worker.runs and not self.closed:
-                if await self.stop_once(run):
+                if await self.send_stop(run):
                     return
                 await asyncio.sleep(STOP_PAUSE_S)
         finally:
             run.stopping = False
 
-    async def stop_once(self, run):
+    async def send_stop(self, run):
         """Sends a stop and returns whether it is settled."""
         if run.state is State.STARTING:
             # The start's answer comes first, or makes the run doubtful.
             return False
         try:
-            result = await self.calls.stop(
-                run.name, run.attempt, timeout_s=ORDER_TIMEOUT_S
+            result = await self.client.stop(
+                run.name, run.attempt, timeout_s=COMMAND_TIMEOUT_S
             )
         except exception.TargetUnreachable as error:
             LOG.debug("A stop was not answered: %s", error)
             return False
         if result is Result.FENCED:
-            self.events.fenced(self.worker)
+            self.events.on_fenced(self.worker)
             return True
         if result is not Result.TAKEN and result is not Result.SUPERSEDED:
             return False
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
@@ -40,26 +40,26 @@
     """
 
     def __init__(
-        self, *, term, registry, make_calls, lease, journal, begun_ms
+        self, *, term, registry, make_client, lease, journal, term_started_ms
     ):
         self.term = term
-        self.make_calls = make_calls
+        self.make_client = make_client
         self.lease = lease
         self.journal = journal
-        self.begun_ms = begun_ms
+        self.term_started_ms = term_started_ms
         self.workers = {}
         self.links = {}
         self.changed = False
         self.started = False
         self.opening = set()
         self.events = None
-        self.inheritance = None
+        self.inherited_runs = None
         self.spawn = None
         self.wake = None
         self.registry = registry_tail.RegistryTail(
             source=registry,
             on_report=self.on_report,
-            on_gone=self.on_gone,
+            on_removed=self.on_removed,
         )
 
     def start_links(self):
@@ -83,7 +83,7 @@
             self.changed = True
             LOG.info("A worker is leaving.", fields={"worker": report.id})
         if report.address != worker.report.address:
-            self.links[report.id].calls = self.make_calls(report, self.term)
+            self.links[report.id].client = self.make_client(report, self.term)
         worker.report = report
         worker.reported_ms = clock.monotonic_ms()
         worker.labels = frozenset(report.labels)
@@ -97,7 +97,7 @@
         self.workers[report.id] = worker
         link = worker_link.WorkerLink(
             worker=worker,
-            calls=self.make_calls(report, self.term),
+            client=self.make_client(report, self.term),
             lease=self.lease,
             events=self.events,
             journal=self.journal,
@@ -111,24 +111,24 @@
         if self.started:
             self.spawn(link.run())
 
-    def on_gone(self, name):
+    def on_removed(self, name):
         """Notes that a worker has left the registry."""
         LOG.info("A worker left the registry.", fields={"worker": name})
-        self.spawn(self.unlist(name))
+        self.spawn(self.unlist_after_grace(name))
 
-    async def unlist(self, name):
+    async def unlist_after_grace(self, name):
         """Takes a worker out of use unless its entry comes back."""
         await asyncio.sleep(UNLISTED_GRACE_S)
         if name not in self.registry.names and name in self.workers:
             self.workers[name].listed = False
 
-    def on_answer(self, worker, *, answers):
+    def on_answering_changed(self, worker, *, answers):
         """Notes that a worker answers, or fell silent."""
         if answers:
-            self.inheritance.answered(worker.report.id)
+            self.inherited_runs.on_worker_answered(worker.report.id)
         self.changed = True
 
-    def add_recorded(self, recorded):
+    def add_inherited(self, recorded):
         """Takes workers of the last term that the registry has lost.
 
         They may run tasks; they get no new ones until they are listed.
@@ -138,14 +138,16 @@
                 self.add(known.report)
                 self.workers[known.report.id].listed = False
 
-    async def record(self):
+    async def record_changes(self):
         """Records the workers whenever they have changed."""
         while True:
-            self.drop_gone()
-            silent = any(map(self.inheritance.long_silent, self.open_workers))
+            self.remove_lapsed()
+            silent = any(
+                map(self.inherited_runs.is_long_silent, self.open_workers)
+            )
             if self.changed or silent:
                 self.changed = False
-                self.note(self.inheritance.record())
+                self.record_workers(self.inherited_runs.worker_records())
             await asyncio.sleep(RECORD_PERIOD_S)
 
     @property
@@ -153,7 +155,7 @@
         """Workers that may be given runs, as far as recorded."""
         return [x for x in self.workers.values() if not x.closed]
 
-    def note(self, listed):
+    def record_workers(self, listed):
         """Records the workers, and closes those that get no new runs.
 
         Args:
@@ -169,12 +171,12 @@
                 worker.open_batch = batch
                 self.opening.add(worker)
 
-    def open_known(self):
+    def open_inherited(self):
         """Opens the workers that the last term's record lets be used."""
-        for name in self.inheritance.open_names & set(self.workers):
+        for name in self.inherited_runs.open_names & set(self.workers):
             self.workers[name].closed = False
 
-    async def open_recorded(self):
+    async def open_when_recorded(self):
         """Opens workers whenever it is recorded that they are used."""
         while True:
             await self.journal.advanced.wait()
@@ -186,7 +188,7 @@
             if ready:
                 self.wake()
 
-    def drop_gone(self):
+    def remove_lapsed(self):
         """Forgets workers that have left and whose leases are over."""
         for name, worker in list(self.workers.items()):
             if worker.lapsed and not worker.listed:
--- a/packages/cicadafold/src/cicadafold/peers/asking.py
+++ b/packages/cicadafold/src/cicadafold/peers/asking.py
@@ -34,7 +34,7 @@
         """
         term = self.local()
         if term is not None:
-            return term.state_of(job)
+            return term.job_state(job)
         reply = await self.remote.call(
             lambda number: messages.StateQuery(number, job),
             timeout_s=timeout_s,
@@ -90,7 +90,7 @@
         """Tells the scheduler of a durable job; the journal tells it too."""
         term = self.local()
         if term is not None:
-            term.on_accepted(spec)
+            term.on_job_accepted(spec)
         elif self.remote.link is not None:
             await self.remote.link.send_if_open(messages.JobAccepted(spec))
 
@@ -98,7 +98,7 @@
         """Tells the scheduler of a durable cancelling."""
         term = self.local()
         if term is not None:
-            term.on_cancelled(job)
+            term.on_job_cancelled(job)
         elif self.remote.link is not None:
             await self.remote.link.send_if_open(messages.JobCancelled(job))
 
@@ -139,7 +139,7 @@
 async def answer_state(owner, query, _):
     """Tells a peer the state of a job."""
     try:
-        state = owner.serving_term().state_of(query.job)
+        state = owner.serving_term().job_state(query.job)
     except exception.Starting:
         return messages.StateReply(query.number, False)
     shown = None if state is None else state.value
@@ -169,14 +169,14 @@
 async def take_accepted(owner, message, _):
     """Takes a job that a peer has accepted."""
     if owner.term is not None:
-        owner.term.on_accepted(message.spec)
+        owner.term.on_job_accepted(message.spec)
 
 
 @link.answer(messages.JobCancelled)
 async def take_cancelled(owner, message, _):
     """Takes a cancelling that a peer has recorded."""
     if owner.term is not None:
-        owner.term.on_cancelled(message.job)
+        owner.term.on_job_cancelled(message.job)
 
 
 @link.answer(messages.TakeOver)
