--- a/packages/cicadafold/src/cicadafold/dispatch/term.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/term.py
@@ -21,8 +21,8 @@
 from cicadafold.journal import accepting
 from cicadafold.journal import progress as progress_module
 from cicadafold.journal import reading
-from cicadafold.peers import asking
 from cicadafold.peers import messages
+from cicadafold.peers import scheduler_client
 from cicadafold.scheduling import estimates
 from cicadafold.telemetry import logs
 
@@ -55,7 +55,7 @@
         longest_lease_ms: Longest lease that a worker grants.
         status_s: Seconds for which the state of an ended job is kept.
         uses_advice: Whether there is an advice service.
-        strength: How well this host can carry a scheduler.
+        election_priority: How well this host can carry a scheduler.
         metrics: Metrics of the process.
     """
 
@@ -352,7 +352,7 @@
             Starting: The journal is not read to its end.
         """
         if not self.ready:
-            raise asking.starting()
+            raise scheduler_client.starting_error()
         ended = self.job_table.ended.get(job_id)
         if ended is not None:
             return ended
@@ -366,7 +366,7 @@
                 else model.JobState.QUEUED
             )
         if not self.jobs_up_to_date():
-            raise asking.starting()
+            raise scheduler_client.starting_error()
         return None
 
     def jobs_up_to_date(self):
@@ -400,7 +400,7 @@
             well = self.jobs_up_to_date()
         else:
             well = now_ms - self.started_ms < RECOVERY_MS
-        return messages.Health.WELL if well else messages.Health.UNWELL
+        return messages.Health.HEALTHY if well else messages.Health.DEGRADED
 
     def pending(self, queue):
         """Returns how many jobs of a queue have not started.
@@ -409,5 +409,5 @@
             Starting: The journal is not read to its end.
         """
         if not self.ready or not self.jobs_up_to_date():
-            raise asking.starting()
+            raise scheduler_client.starting_error()
         return self.job_table.pending(queue)
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
@@ -337,11 +337,11 @@
     link.events.deferred = {2}
     asyncio.run(link.renew(wait=False))
     assert link.events.ends == [1]
-    assert link.deferred
+    assert link.ends_deferred
     link.events.deferred = set()
     asyncio.run(link.renew(wait=False))
     assert link.events.ends == [1, 2, 3]
-    assert not link.deferred
+    assert not link.ends_deferred
 
 
 def test_number_is_acknowledged_until_it_is_answered(link):
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
@@ -93,7 +93,7 @@
     def add(self, report):
         """Adds a worker and its link."""
         worker = runs.Worker(report=report, now_ms=clock.monotonic_ms())
-        worker.begun_ms = max(self.begun_ms, worker.begun_ms)
+        worker.begun_ms = max(self.term_started_ms, worker.begun_ms)
         self.workers[report.id] = worker
         link = worker_link.WorkerLink(
             worker=worker,
