--- a/packages/cicadafold/src/cicadafold/dispatch/handover.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/handover.py
@@ -1,4 +1,4 @@
-"""Hands a term to a host that can carry it better."""
+"""Hands a term over to a peer that can run the scheduler better."""
 
 import asyncio
 
@@ -7,26 +7,31 @@
 
 __all__ = ["Handover"]
 
-LOOK_PERIOD_S = 0.1
-# Covers the time of the question to the peer.
-SERVED_MARGIN_MS = 120.0
-# A term moves only to a host that is stronger by this factor, and not
-# before it has lasted a while.
-STRONGER_FACTOR = 1.5
-CALM_MS = 1000.0
+CHECK_PERIOD_S = 0.1
+# Covers the round trip of the query to the peer.
+QUERY_MARGIN_MS = 120.0
+# A term is handed over on priority only to a peer whose election priority is
+# at least this many times that of this process.
+PRIORITY_FACTOR = 1.5
+# Minimum age of a term before it is handed over on priority. The store must
+# also have answered the peer within this time.
+STABLE_MS = 1000.0
 
 LOG = logs.get_logger("term")
 
 
 class Handover:
-    """Finds a host that the store serves, or one that is much stronger.
+    """Chooses the peer that a term is handed over to, and when.
+
+    A term is handed over if the store no longer answers this process but
+    answers a peer, or if a peer has a much higher election priority.
 
     Args:
         term: Number of the term.
         store: Client of the store.
-        lines: Function that returns the lines to other processes.
-        election_priority: How well this host can carry a scheduler.
-        begun_ms: Monotonic time of the term's begin.
+        list_peers: Function that returns the handles of the peers.
+        election_priority: Election priority of this process.
+        term_started_ms: Monotonic time of the term's start, in milliseconds.
     """
 
     def __init__(
@@ -39,23 +44,23 @@
         self.term_started_ms = term_started_ms
 
     async def run(self):
-        """Looks for a better host again and again.
+        """Checks periodically for a peer to hand the term over to.
 
         Returns:
-            Why the term was handed over, once it was.
+            Reason of the handover, once a peer was asked to take over.
         """
         while True:
-            await asyncio.sleep(LOOK_PERIOD_S)
-            reason = "the store does not serve this process"
+            await asyncio.sleep(CHECK_PERIOD_S)
+            reason = "the store does not answer this process"
             if self.store.failing:
                 peer = await self.find_successor()
             else:
-                reason = "a much stronger host takes over"
+                reason = "a peer with a much higher election priority exists"
                 peer = await self.find_preferred_peer()
             if peer is None:
                 continue
             LOG.warning(
-                "The term is handed to a peer.",
+                "Handing the term over to a peer.",
                 fields={
                     "term": self.term,
                     "peer": peer.member,
@@ -66,31 +71,40 @@
             return reason
 
     async def find_successor(self):
-        """Returns the line of a peer that the store serves, or None.
+        """Returns the handle of a peer that the store answers, or None.
 
-        The store must have answered the peer after it began to fail here;
-        otherwise it is down for all, and the term goes on.
+        The store must have answered the peer after the failures of this
+        process began. Otherwise the store is down for all processes, and the
+        term continues here.
         """
-        lines = [line for line in self.list_peers() if line.store_age_ms]
-        ages = await asyncio.gather(*(line.store_age_ms() for line in lines))
+        peers = [peer for peer in self.list_peers() if peer.store_age_ms]
+        ages = await asyncio.gather(*(peer.store_age_ms() for peer in peers))
         failing_ms = clock.monotonic_ms() - self.store.failing_since_ms
         served = [
-            line
-            for line, age_ms in zip(lines, ages)
-            if age_ms <= failing_ms - SERVED_MARGIN_MS
+            peer
+            for peer, age_ms in zip(peers, ages)
+            if age_ms <= failing_ms - QUERY_MARGIN_MS
         ]
         return max(
-            served, key=lambda line: line.election_priority, default=None
+            served, key=lambda peer: peer.election_priority, default=None
         )
 
     async def find_preferred_peer(self):
-        """Returns the line of a much stronger peer, or None."""
+        """Returns the peer with the highest election priority, or None.
+
+        Returns:
+            Handle of the peer; None if no peer's priority is high enough,
+            the term is too young, or the store has not answered the peer
+            lately.
+        """
         age_ms = clock.monotonic_ms() - self.term_started_ms
-        least = self.election_priority * STRONGER_FACTOR
-        lines = [x for x in self.list_peers() if x.election_priority >= least]
-        if not lines or age_ms < CALM_MS:
+        min_priority = self.election_priority * PRIORITY_FACTOR
+        peers = [
+            x for x in self.list_peers() if x.election_priority >= min_priority
+        ]
+        if not peers or age_ms < STABLE_MS:
             return None
-        line = max(lines, key=lambda line: line.election_priority)
-        if await line.store_age_ms() > CALM_MS:
+        peer = max(peers, key=lambda peer: peer.election_priority)
+        if await peer.store_age_ms() > STABLE_MS:
             return None
-        return line
+        return peer
--- a/packages/cicadafold/src/cicadafold/dispatch/inherited_runs.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/inherited_runs.py
@@ -1,9 +1,10 @@
-"""What earlier terms may have left running on workers.
+"""Run attempts that earlier terms may have left on the workers.
 
-Starts are not recorded. A new term learns what runs from the workers
-themselves; those that do not answer may still run tasks until a lease is
-over. The record of known workers narrows this down: it names the workers,
-and for one that was silent or leaving already the tasks it may run.
+Start commands are not recorded in the journal. A new term learns from the
+workers themselves what they run. A worker that does not answer may still run
+tasks until its leases have lapsed. The record of workers that the last term
+left in the journal narrows this down: it names the workers and, for each
+worker that was already silent or draining, the tasks that it may run.
 """
 
 from cicadafold import clock
@@ -13,28 +14,35 @@
 
 __all__ = ["InheritedRuns"]
 
-# The registry is whole again this long after an outage of the store.
-REGISTRY_BACK_MS = 2300.0
-# A few renewals; a worker that is recorded as silent is not used again
-# before that is recorded too.
-LONG_SILENT_MS = 600.0
+# After an outage of the store it takes this long until all workers are
+# listed in the registry again.
+REGISTRY_RECOVERY_MS = 2300.0
+# Covers a few renewals. A worker that is recorded as silent gets no new tasks
+# until its return has been recorded too, so one lost answer must not count.
+MIN_SILENCE_MS = 600.0
 
 LOG = logs.get_logger("inherit")
 
 
 class InheritedRuns:
-    """Tells which inherited tasks may still run somewhere.
+    """Tracks which inherited tasks may still run on some worker.
 
     Args:
         workers: Workers by name.
         store: Client of the store.
-        begun_ms: Monotonic time of the term's begin.
-        lease_ms: Length of the leases that schedulers ask for.
+        term_started_ms: Monotonic time of the term's start, in milliseconds.
+        lease_ms: Length of the leases that schedulers request, in
+            milliseconds.
 
     Attributes:
-        recorded: Whether the last term has recorded its workers.
-        open_names: Workers that the record lets be given runs.
-        suspects: Tasks that may run on a worker that has not answered.
+        leases_lapsed_ms: Monotonic time, in milliseconds, by which all
+            leases of earlier terms have lapsed.
+        has_record: Whether the last term recorded its workers.
+        open_names: Names of the workers that may be given tasks according to
+            that record.
+        possible_runs: By name of a worker that has not answered in this
+            term, the tasks that it may run according to that record.
+        known_pools: Pools for which ``all_runs_known`` has become true.
     """
 
     def __init__(self, *, workers, store, term_started_ms, lease_ms):
@@ -50,11 +58,14 @@
         self.known_pools = set()
 
     def load(self, known, job_table):
-        """Takes the record of the last term.
+        """Loads the record of workers that the last term left.
+
+        Tasks that may still run on a worker are not started elsewhere until
+        the worker answers or its leases have lapsed.
 
         Args:
-            known: Record of the workers, or None.
-            table: Jobs, whose suspect tasks have to wait.
+            known: Record of the workers, or None if there is none.
+            job_table: Jobs, to look up the recorded tasks.
         """
         self.has_record = known is not None
         for worker in known.workers if known else ():
@@ -67,18 +78,18 @@
                 task.not_before_ms = self.leases_lapsed_ms
 
     def worker_records(self):
-        """Returns the record of all workers for the next term."""
+        """Returns the records of all workers, to be read by the next term."""
         return [
             records.KnownWorker(worker.report, self.possible_tasks(worker))
             for worker in self.workers.values()
         ]
 
     def possible_tasks(self, worker):
-        """Returns the tasks that may run on a worker without new ones.
+        """Returns the tasks that a worker may run, if it gets no new ones.
 
         Returns:
-            Names of tasks, some of which may have ended; None if more may
-            be started on the worker, or if its tasks are not known.
+            Names of the tasks, some of which may have ended; None if the
+            worker may be given more tasks, or if its tasks are not known.
         """
         answers = worker.silent_since_ms is None
         if not worker.report.draining and (
@@ -87,26 +98,37 @@
             return None
         if worker.fenced:
             return [run.name for run in worker.runs.values()]
-        # It has not answered in this term; the last one's list holds.
+        # The worker has not answered in this term, so the record of the last
+        # term still holds.
         possible_runs = self.possible_runs.get(worker.report.id)
         if possible_runs is None:
             return None
         return [task.name for task in possible_runs]
 
     def is_long_silent(self, worker):
-        """Whether a worker is silent, and not just for one lost answer."""
+        """Whether a worker has been silent for longer than one lost answer.
+
+        Args:
+            worker: State of the worker.
+        """
         if worker.silent_since_ms is None:
             return False
         silent_ms = clock.monotonic_ms() - worker.silent_since_ms
-        return silent_ms >= LONG_SILENT_MS
+        return silent_ms >= MIN_SILENCE_MS
 
     def on_worker_answered(self, name):
-        """Releases the tasks of a worker that has given its list."""
+        """Lets the tasks that a worker was recorded with be started again.
+
+        The inventory of the worker now tells which of them it still runs.
+
+        Args:
+            name: Name of the worker.
+        """
         for task in self.possible_runs.pop(name, ()):
             task.not_before_ms = 0.0
 
     def all_runs_known(self, pool):
-        """Whether no worker of a pool may run tasks that are unknown."""
+        """Whether all tasks that may run on workers of a pool are known."""
         if pool in self.known_pools:
             return True
         now_ms = clock.monotonic_ms()
@@ -116,7 +138,8 @@
             return False
         self.known_pools.add(pool)
         LOG.info(
-            "All workers of a pool are accounted for.",
+            "All inherited run attempts of a pool are known; starting "
+            "inherited jobs.",
             fields={
                 "pool": pool,
                 "took_ms": round(now_ms - self.term_started_ms),
@@ -129,9 +152,14 @@
         return True
 
     def has_unknown_runs(self, pool, now_ms):
-        """Whether a worker of a pool has not been accounted for."""
+        """Whether a worker of a pool may run tasks that are not known.
+
+        Args:
+            pool: Name of the pool.
+            now_ms: Monotonic time, in milliseconds.
+        """
         outage_ms = now_ms - self.store.failed_ms
-        if outage_ms < REGISTRY_BACK_MS and not self.has_record:
+        if outage_ms < REGISTRY_RECOVERY_MS and not self.has_record:
             return True
         return any(
             worker.report.pool == pool
--- a/packages/cicadafold/src/cicadafold/dispatch/registry_tail.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/registry_tail.py
@@ -1,4 +1,4 @@
-"""Follows the platform's registry of workers."""
+"""Reads the platform's registry of workers."""
 
 import asyncio
 
@@ -8,8 +8,8 @@
 
 __all__ = ["RegistryTail"]
 
-# Reports come about every second from each worker; reading them a few
-# times a second keeps the store's calls few.
+# Each worker reports about once per second; a few reads per second keep the
+# number of calls to the store low.
 PAUSE_S = 0.2
 RETRY_PAUSE_S = 0.2
 
@@ -17,12 +17,20 @@
 
 
 class RegistryTail:
-    """Keeps the newest report of each worker.
+    """Polls the registry and passes its changes on.
 
     Args:
         source: Reader of the registry.
-        on_report: Function called with each report that matters.
-        on_gone: Function called with the name of a worker that is gone.
+        on_report: Function called with each new or changed worker report.
+        on_removed: Function called with the name of each worker that has
+            been removed from the registry.
+
+    Attributes:
+        names: Names of the workers in the registry.
+        read_ms: Monotonic time of the last successful read, in milliseconds.
+        failing_since_ms: Monotonic time of the first of the current failed
+            reads, in milliseconds; None if the last read succeeded.
+        ready: Set once the registry has been read.
     """
 
     def __init__(self, *, source, on_report, on_removed):
@@ -35,26 +43,35 @@
         self.ready = asyncio.Event()
 
     async def run(self):
-        """Reads the registry for as long as the term lasts."""
+        """Reads the registry until the task is cancelled."""
         while True:
             try:
                 changes = await self.source.changes()
             except (exception.LogUnavailable, exception.LinkLost) as error:
                 if self.failing_since_ms is None:
                     self.failing_since_ms = clock.monotonic_ms()
-                    LOG.warning("The registry cannot be read: %s", error)
+                    LOG.warning(
+                        "Cannot read the registry of workers, retrying "
+                        "every %s s: %s",
+                        RETRY_PAUSE_S,
+                        error,
+                    )
                 await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             self.read_ms = clock.monotonic_ms()
             if self.failing_since_ms is not None:
-                LOG.info("The registry is read again.")
+                LOG.info("The registry of workers can be read again.")
                 self.failing_since_ms = None
             self.apply(changes)
             self.ready.set()
             await asyncio.sleep(PAUSE_S)
 
     def apply(self, changes):
-        """Takes changed reports; None in place of one means gone."""
+        """Applies changes of the registry.
+
+        Args:
+            changes: Reports by worker name; None for a removed worker.
+        """
         for name, report in changes.items():
             if report is not None:
                 self.names.add(name)
--- a/packages/cicadafold/src/cicadafold/dispatch/stall_detector.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/stall_detector.py
@@ -1,8 +1,9 @@
-"""Notices that this process stood still, before it acts on old beliefs.
+"""Detects that this process was frozen, before it acts on outdated state.
 
-A process that was frozen goes on where it stopped. Another scheduler may
-have begun a term meanwhile, and a worker that has started anew knows no
-fence that would keep this one's orders out.
+A process that was frozen, for example because its host was suspended,
+continues where it stopped. Another scheduler may have started a term in the
+meantime. Fences do not always stop commands of the old one: a worker that
+has restarted no longer knows the fence of the new term.
 """
 
 import asyncio
@@ -14,23 +15,26 @@
 __all__ = ["StallDetector"]
 
 TICK_S = 0.1
-# Longer than a busy moment; other processes need longer to take over from
-# one that answers nothing.
+# Longer than the event loop is usually blocked, and shorter than the time
+# after which other processes take over from one that does not answer.
 STALL_MS = 400.0
 
 LOG = logs.get_logger("term")
 
 
 class StallDetector:
-    """Tells whether this process has run without a stall.
+    """Detects stalls of the event loop and checks the claim after each.
 
     Args:
-        confirm: Coroutine function that reads the newest claim.
-        on_steady: Function called when orders may be given again.
+        read_newest_claim: Coroutine function that reads the newest claim
+            from the store.
+        on_resumed: Function called when commands are allowed again.
 
     Attributes:
-        ticked_ms: Monotonic time at which the process ran last.
-        confirmed: Whether the newest claim was read since the last stall.
+        ticked_ms: Monotonic time of the last tick of the event loop, in
+            milliseconds.
+        claim_checked: Whether the newest claim was read, or could not be
+            read, since the last stall.
     """
 
     def __init__(self, *, read_newest_claim, on_resumed):
@@ -40,34 +44,41 @@
         self.claim_checked = True
 
     def commands_allowed(self):
-        """Whether orders may be given."""
+        """Whether no stall is in progress or still to be checked."""
         stalled_ms = clock.monotonic_ms() - self.ticked_ms
         return self.claim_checked and stalled_ms <= STALL_MS
 
     async def run(self):
-        """Watches for as long as the term lasts."""
+        """Checks for stalls periodically until the task is cancelled."""
         while True:
             await asyncio.sleep(TICK_S)
             stalled_ms = clock.monotonic_ms() - self.ticked_ms
             if stalled_ms > STALL_MS:
                 self.claim_checked = False
                 LOG.warning(
-                    "The process stood still.",
+                    "The process was stalled for more than %s ms; reading "
+                    "the newest claim before sending commands.",
+                    STALL_MS,
                     fields={"stalled_ms": round(stalled_ms)},
                 )
                 await self.check_newest_claim()
             self.ticked_ms = clock.monotonic_ms()
 
     async def check_newest_claim(self):
-        """Reads the newest claim; one of a later term ends this one.
+        """Reads the newest claim, then allows commands again.
 
-        If the store does not answer, no other process could claim either,
-        as far as can be known here.
+        If a later term has been claimed, reading the claim ends this term.
+        If the store does not answer, commands are allowed as well: as far
+        as this process knows, no other process could claim a term either.
         """
         try:
             await self.read_newest_claim()
         except (exception.LogUnavailable, exception.LinkLost) as error:
-            LOG.warning("The newest claim cannot be read: %s", error)
+            LOG.warning(
+                "Cannot read the newest claim after a stall, continuing the "
+                "term: %s",
+                error,
+            )
         self.ticked_ms = clock.monotonic_ms()
         self.claim_checked = True
         self.on_resumed()
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_handover.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Tests of when a term is handed over."""
+"""Tests of when a term is handed over, and to which peer."""
 
 import asyncio
 import types
@@ -9,8 +9,13 @@
 from cicadafold.dispatch import handover
 
 
-def line(age_ms, election_priority=1.0):
-    """Returns the line of a peer that the store answered so long ago."""
+def make_peer(age_ms, election_priority=1.0):
+    """Returns a fake handle of a peer.
+
+    Args:
+        age_ms: Time since the store last answered the peer, in milliseconds.
+        election_priority: Election priority of the peer.
+    """
 
     async def store_age_ms():
         return age_ms
@@ -31,24 +36,24 @@
         (300.0, [], None),
     ],
 )
-def test_term_goes_on_when_the_store_is_down_for_all(failing_ms, ages, found):
-    """A successor must have been served after the failures began here."""
+def test_term_continues_if_the_store_is_down_for_all(failing_ms, ages, found):
+    """Successors are peers that the store answered after it failed here."""
 
     async def scenario():
-        lines = [line(age_ms) for age_ms in ages]
+        peers = [make_peer(age_ms) for age_ms in ages]
         since_ms = clock.monotonic_ms() - failing_ms
-        holder = types.SimpleNamespace(
-            list_peers=lambda: lines,
+        fake = types.SimpleNamespace(
+            list_peers=lambda: peers,
             store=types.SimpleNamespace(failing_since_ms=since_ms),
         )
-        chosen = await handover.Handover.find_successor(holder)
-        assert chosen is (None if found is None else lines[found])
+        chosen = await handover.Handover.find_successor(fake)
+        assert chosen is (None if found is None else peers[found])
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("age_ms", "strengths", "found"),
+    ("age_ms", "priorities", "found"),
     [
         (2000.0, [1.2, 2.0, 1.9], 1),
         (2000.0, [1.2], None),
@@ -56,19 +61,19 @@
         (2000.0, [], None),
     ],
 )
-def test_term_moves_to_a_much_stronger_host(age_ms, strengths, found):
-    """The strongest peer takes over once the term has lasted a while."""
+def test_term_is_handed_to_a_peer_of_much_higher_priority(
+    age_ms, priorities, found
+):
+    """The peer of highest priority is chosen if the term is old enough."""
 
     async def scenario():
-        lines = [
-            line(10.0, election_priority) for election_priority in strengths
-        ]
-        holder = types.SimpleNamespace(
-            list_peers=lambda: lines,
+        peers = [make_peer(10.0, priority) for priority in priorities]
+        fake = types.SimpleNamespace(
+            list_peers=lambda: peers,
             term_started_ms=clock.monotonic_ms() - age_ms,
             election_priority=1.0,
         )
-        chosen = await handover.Handover.find_preferred_peer(holder)
-        assert chosen is (None if found is None else lines[found])
+        chosen = await handover.Handover.find_preferred_peer(fake)
+        assert chosen is (None if found is None else peers[found])
 
     asyncio.run(scenario())
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_stall_detector.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_stall_detector.py
@@ -1,4 +1,4 @@
-"""Tests of what a process does after it stood still."""
+"""Tests of what a process does after a stall."""
 
 import asyncio
 import types
@@ -13,8 +13,8 @@
 from cicadafold import exception
 
 
-class Time:
-    """A clock that the test moves."""
+class FakeTime:
+    """A monotonic clock that the test sets."""
 
     def __init__(self):
         self.now_ms = 1000.0
@@ -25,75 +25,73 @@
 
 @pytest.fixture
 def time(monkeypatch):
-    """The clock of the product, moved by the test."""
-    made = Time()
-    monkeypatch.setattr(clock, "monotonic_ms", made)
+    """Replaces the monotonic clock with one that the test sets."""
+    fake = FakeTime()
+    monkeypatch.setattr(clock, "monotonic_ms", fake)
     monkeypatch.setattr(stall_detector, "TICK_S", 0.0)
-    return made
+    return fake
 
 
 @pytest.mark.parametrize(
     "error",
     [None, exception.LogUnavailable(message="Down.", remedy="Wait.")],
 )
-def test_no_orders_after_a_stall_until_the_newest_claim_is_read(time, error):
-    """A stall is seen before anything is done, and a read ends it."""
-    said = []
+def test_no_commands_after_a_stall_until_the_claim_is_read(time, error):
+    """Commands are allowed again once the claim was read or failed to be."""
+    calls = []
 
     async def read_newest_claim():
-        said.append(watch.commands_allowed())
+        calls.append(detector.commands_allowed())
         if error is not None:
             raise error
 
-    watch = stall_detector.StallDetector(
+    detector = stall_detector.StallDetector(
         read_newest_claim=read_newest_claim,
-        on_resumed=lambda: said.append("steady"),
+        on_resumed=lambda: calls.append("resumed"),
     )
-    assert watch.commands_allowed()
+    assert detector.commands_allowed()
     time.now_ms += stall_detector.STALL_MS + 1.0
-    assert not watch.commands_allowed()
+    assert not detector.commands_allowed()
 
     async def scenario():
-        task = asyncio.create_task(watch.run())
+        task = asyncio.create_task(detector.run())
         for _ in range(3):
             await asyncio.sleep(0)
         task.cancel()
 
     asyncio.run(scenario())
-    assert said == [False, "steady"]
-    assert watch.commands_allowed()
+    assert calls == [False, "resumed"]
+    assert detector.commands_allowed()
 
 
-def test_short_pauses_are_no_stall(time):
-    """A busy moment holds nothing up."""
-    watch = stall_detector.StallDetector(
+def test_short_pause_is_no_stall(time):
+    """Commands stay allowed if the event loop is blocked for a short time."""
+    detector = stall_detector.StallDetector(
         read_newest_claim=None, on_resumed=None
     )
     time.now_ms += stall_detector.STALL_MS - 1.0
-    assert watch.commands_allowed()
+    assert detector.commands_allowed()
 
 
-@pytest.mark.parametrize("over", [False, True])
-@pytest.mark.parametrize("still", [False, True])
-def test_term_gives_orders_only_while_it_is_steady(over, still):
-    """A term that is over, or stood still, gives none."""
-    found = types.SimpleNamespace(
-        ended=types.SimpleNamespace(is_set=lambda: over),
+@pytest.mark.parametrize("ended", [False, True])
+@pytest.mark.parametrize("stalled", [False, True])
+def test_ended_or_stalled_term_sends_no_commands(ended, stalled):
+    """Commands are allowed if the term has neither ended nor stalled."""
+    fake = types.SimpleNamespace(
+        ended=types.SimpleNamespace(is_set=lambda: ended),
         stall_detector=types.SimpleNamespace(
-            commands_allowed=lambda: not still
+            commands_allowed=lambda: not stalled
         ),
     )
-    assert term.Term.commands_allowed(found) is not (over or still)
+    assert term.Term.commands_allowed(fake) is not (ended or stalled)
 
 
-def test_run_that_was_placed_before_a_stall_is_not_ordered(report):
-    """Its order is not sent, and its task waits again."""
+def test_task_placed_before_a_stall_is_not_started(report):
+    """No start command is sent, and the run attempt is removed again."""
     gone = []
     worker = runs.Worker(report=report, now_ms=0.0)
     run = types.SimpleNamespace(worker=worker, task=None)
-    events = types.SimpleNamespace(
-        on_run_gone=lambda *found: gone.append(found)
-    )
+    events = types.SimpleNamespace(on_run_gone=lambda *args: gone.append(args))
     placer = placing.Placer(
         term=1,
         table=None,
--- a/packages/cicadafold/src/cicadafold/dispatch/unknown_job_runs.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/unknown_job_runs.py
@@ -1,9 +1,11 @@
-"""Runs and ends of jobs whose records this term has not read yet.
+"""Run attempts and ends of jobs whose records this term has not read yet.
 
-The last scheduler may have started a job in the moment in which a new term
-read the journal. A worker then lists work of a job that the term does not
-know. Its record was durable before it was started, so it is known once all
-records have been read that were there when the work was listed.
+The scheduler of the previous term may have started a task of a job just
+while the new term was reading the journal. A worker then lists a run attempt
+or an end of a job that the new term does not know. The record of a job is
+durable before its first task is started. So if all records that existed when
+the worker's list arrived have been read and the job is still unknown, it has
+no record.
 """
 
 from cicadafold import clock
@@ -12,16 +14,17 @@
 
 
 class UnknownJobRuns:
-    """Keeps listed work until its job's record must have been read.
+    """Keeps run attempts of unknown jobs until their records must be read.
 
     Args:
-        caught_up: Function that tells whether all records have been read
-            that were there at a monotonic time in milliseconds.
+        has_read_up_to: Function that tells whether all job records that
+            existed at a monotonic time, in milliseconds, have been read.
 
     Attributes:
-        first_ms: Monotonic time at which work was first listed, by name and
-            attempt.
-        runs: Runs with the rows that listed them, by job and key.
+        first_ms: Monotonic time, in milliseconds, at which a run attempt or
+            end was first listed, by task name and attempt.
+        runs: Pairs of a run attempt and the row that listed it, by job and
+            then by task name and attempt.
     """
 
     def __init__(self, *, has_read_up_to):
@@ -30,10 +33,10 @@
         self.runs = {}
 
     def may_become_known(self, key):
-        """Whether the record of listed work may still come.
+        """Whether the record of a job may exist and not be read yet.
 
         Args:
-            key: Name and attempt.
+            key: Task name and attempt of the listed run attempt or end.
         """
         first_ms = self.first_ms.setdefault(key, clock.monotonic_ms())
         if not self.has_read_up_to(first_ms):
@@ -42,16 +45,16 @@
         return False
 
     def add(self, run, row):
-        """Keeps a run until its job is known."""
+        """Keeps a run attempt, with its row, until its job is known."""
         self.first_ms.setdefault(run.key, clock.monotonic_ms())
         self.runs.setdefault(run.name.job, {})[run.key] = (run, row)
 
     def pop_job(self, job):
-        """Returns the runs of a job that is known now, with their rows."""
+        """Removes and returns the run attempts and rows of a job."""
         return list(self.runs.pop(job, {}).values())
 
     def pop_without_record(self):
-        """Returns the runs whose job has no record, and forgets them."""
+        """Removes and returns the run attempts whose job has no record."""
         found = []
         for job, kept in list(self.runs.items()):
             for key, (run, _) in list(kept.items()):
