--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/mutants.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/mutants.py
@@ -23,7 +23,7 @@
 from cicadafold.dispatch import term
 from cicadafold.dispatch import worker_link
 from cicadafold.election import terms
-from cicadafold.journal import progress
+from cicadafold.journal import progress_writer
 from cicadafold.platform import log_store
 from cicadafold_standins.simulation import explore
 
@@ -68,7 +68,7 @@
 @mutant
 def ends_are_not_recorded_first():
     """Acknowledges ends before they are in the journal."""
-    progress.ProgressWriter.durable_batch = property(
+    progress_writer.ProgressWriter.durable_batch = property(
         lambda self: math.inf, lambda self, value: None
     )
 
@@ -121,13 +121,13 @@
 def claims_are_not_numbered_by_the_log():
     """Counts terms from what is known, instead of by the claim's offset."""
 
-    def take(self, key, value, offset):
+    def apply_record(self, key, value, offset):
         if key == terms.KEY and value:
             newest = 0 if self.newest is None else self.newest.term
             claim = terms.decode(value)
-            self.follow(msgspec.structs.replace(claim, term=newest + 1))
+            self.apply_claim(msgspec.structs.replace(claim, term=newest + 1))
 
-    terms.ClaimsTail.take = take
+    terms.ClaimsTail.apply_record = apply_record
 
 
 @mutant
--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -9,11 +9,11 @@
 from cicadafold.daemon import supervision
 from cicadafold.dispatch import advising
 from cicadafold.dispatch import term as term_module
-from cicadafold.election import campaign
+from cicadafold.election import candidate
 from cicadafold.election import terms
 from cicadafold.frontdoor import door
 from cicadafold.frontdoor import routes
-from cicadafold.journal import accepting
+from cicadafold.journal import accept_writer
 from cicadafold.peers import asking
 from cicadafold.peers import link
 from cicadafold.peers import peer_calls
@@ -90,23 +90,23 @@
         self.roster = roster.Roster(
             session=self.peer_session,
             address=settings.peer_address,
-            on_claim=self.claims.follow,
+            on_claim=self.claims.apply_claim,
             on_take_over=lambda term: self.campaign.take_over(term),
         )
         self.sharing = roster.Sharing(roster=self.roster, peers=self.peers)
-        self.campaign = campaign.Campaign(
+        self.campaign = candidate.Candidate(
             store=self.store,
             claims=self.claims,
             member=self.member,
             address=settings.peer_address,
             ttl_ms=settings.member_ttl_ms,
-            serving=lambda: self.term is not None,
+            is_serving=lambda: self.term is not None,
             health=self.ask.health,
             scheduler_gone=lambda: self.scheduler.refused,
-            ask_strong=self.roster.ask_strong,
-            strength=settings.strength,
+            delegate_claim=self.roster.ask_strong,
+            election_priority=settings.strength,
         )
-        self.writer = accepting.AcceptWriter(
+        self.writer = accept_writer.AcceptWriter(
             store=self.store,
             first_partition=sum(settings.member.encode()),
             metrics=self.metrics,
@@ -226,7 +226,7 @@
         """Takes a peer that has opened a link."""
         if self.term is not None and hello.term > self.term.number:
             self.term.step_down(f"a peer knows term {hello.term}")
-        strong = hello.strength >= campaign.STRONG
+        strong = hello.strength >= candidate.FULL_PRIORITY
         self.roster.add([hello.address], [hello.address] if strong else ())
         calls = peer_calls.PeerCalls(peer=peer)
         self.peers[peer] = advising.AdviceLine(
--- a/packages/cicadafold/src/cicadafold/dispatch/advising.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/advising.py
@@ -119,7 +119,7 @@
                 kept.append(item)
                 continue
             line.busy += 1
-            item.step.asking = True
+            item.step.advice_pending = True
             self.spawn(self.ask(line, item))
         self.wanted = list(kept)
 
@@ -137,7 +137,7 @@
     async def ask(self, line, item):
         """Makes one call and notes its tickets."""
         step = item.step
-        step.asked_ms = clock.monotonic_ms()
+        step.advice_requested_ms = clock.monotonic_ms()
         valid_ms = step.job.rule.advice.valid_ms
         try:
             granted = await line.ask(
@@ -163,7 +163,7 @@
             self.note(step, item, granted, valid_ms)
         finally:
             line.busy -= 1
-            step.asking = False
+            step.advice_pending = False
         self.pump()
         self.wake()
 
@@ -171,11 +171,11 @@
         """Notes the tickets of a step."""
         self.metrics.count("advice_calls")
         until_ms = clock.monotonic_ms() + valid_ms - TICKET_MARGIN_MS
-        if step.allowed is None:
-            step.allowed = {}
+        if step.allowed_by_worker is None:
+            step.allowed_by_worker = {}
             self.learn(step, len(item.workers), len(granted))
         for worker in item.workers:
-            step.allowed[worker] = worker in granted
+            step.allowed_by_worker[worker] = worker in granted
         for worker, ticket in granted.items():
             step.tickets[worker] = (ticket, until_ms)
         LOG.info(
@@ -185,6 +185,8 @@
                 "step": step.number,
                 "asked": len(item.workers),
                 "granted": len(granted),
-                "took_ms": round(clock.monotonic_ms() - step.asked_ms),
+                "took_ms": round(
+                    clock.monotonic_ms() - step.advice_requested_ms
+                ),
             },
         )
--- a/packages/cicadafold/src/cicadafold/dispatch/dropping.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/dropping.py
@@ -69,14 +69,12 @@
                 return
             del self.ends[job]
             self.ended.discard(job)
-            self.journal.drop(job)
+            self.journal.record_removal(job)
             self.forget(job)
 
     async def drop(self, partition, jobs):
         """Drops the descriptions of jobs from one partition."""
-        entries = [
-            (key, b"") for job in jobs for key in records.drop_records(job)
-        ]
+        entries = [(key, b"") for job in jobs for key in records.job_keys(job)]
         try:
             await self.store.append(records.JOBS_TOPIC, partition, entries)
         except (exception.LogUnavailable, exception.LinkLost) as error:
--- a/packages/cicadafold/src/cicadafold/dispatch/ends.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/ends.py
@@ -120,7 +120,9 @@
         )
         if task is None:
             return self.of_closed_work(end)
-        task.save(end.checkpoint, run.percent if run else LEAST_PERCENT)
+        task.save_checkpoint(
+            end.checkpoint, run.percent if run else LEAST_PERCENT
+        )
         if task.step.spec.lasting:
             return self.lasting_ended(task)
         if end.kind is Kind.DONE:
@@ -139,9 +141,9 @@
         the next scheduler would start the work again otherwise.
         """
         job = None if end.name is None else self.table.jobs.get(end.name.job)
-        if job is None or job.shown.final:
+        if job is None or job.reported_state.final:
             return 0
-        return self.table.journal.change(job)
+        return self.table.journal.record_job(job)
 
     def lasting_ended(self, task):
         """Lets a lasting task start again, however it ended."""
@@ -160,10 +162,10 @@
 
     def failed(self, worker, task, end):
         """Applies a failure, and judges the worker by it."""
-        if not task.step.avoid - {worker.report.id}:
+        if not task.step.avoided_workers - {worker.report.id}:
             # A step that failed elsewhere before may be at fault itself.
             self.judge(worker, task.step.job.spec.id)
-        task.step.avoid.add(worker.report.id)
+        task.step.avoided_workers.add(worker.report.id)
         if task.done:
             return 0
         if task.step.spec.gang:
@@ -190,7 +192,7 @@
 
     def restart_gang(self, step, attempt):
         """Stops what is left of a gang's run, so that it starts anew."""
-        step.held_until_ms = clock.monotonic_ms() + GANG_PAUSE_MS
+        step.gang_not_before_ms = clock.monotonic_ms() + GANG_PAUSE_MS
         self.stop_attempt(step, attempt)
 
     def stop_attempt(self, step, attempt):
@@ -249,7 +251,7 @@
         worker.add(run)
         if keep:
             job.started = True
-            task.save(row.checkpoint, row.percent)
+            task.save_checkpoint(row.checkpoint, row.percent)
         LOG.info(
             "A run of an earlier term is adopted."
             if keep
@@ -297,4 +299,4 @@
     """Returns the room of a task, its worker's if it is not known."""
     if job is None or not 0 <= name.step < len(job.spec.steps):
         return worker.report.capacity
-    return job.spec.steps[name.step].room
+    return job.spec.steps[name.step].reserved_resources
--- a/packages/cicadafold/src/cicadafold/dispatch/job_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/job_table.py
@@ -2,7 +2,7 @@
 
 from cicadafold import clock
 from cicadafold.jobs import model
-from cicadafold.jobs import run_state
+from cicadafold.jobs import runtime_state
 from cicadafold.journal import records
 from cicadafold.scheduling import estimates
 from cicadafold.scheduling import ranking
@@ -54,7 +54,7 @@
         now_ms = clock.monotonic_ms()
         wall_ms = clock.wall_ms()
         age_ms = max(0.0, wall_ms - spec.accepted_ms) + spec.waited_ms
-        job = run_state.JobRun(
+        job = runtime_state.Job(
             spec=spec,
             arrived_ms=now_ms - age_ms,
             wall_offset_ms=wall_ms - now_ms,
@@ -85,10 +85,10 @@
         if progress is not None:
             records.apply_progress(job, progress)
         if cancelled and not job.state.final:
-            job.state = job.shown = State.CANCELLED
+            job.state = job.reported_state = State.CANCELLED
         if job.state.final:
             self.retire(job)
-            self.journal.change(job)
+            self.journal.record_job(job)
         return job
 
     def restore_ended(self, job_id, progress):
@@ -105,7 +105,7 @@
     def find(self, name):
         """Returns the task of a name, None if it is not known."""
         job = self.jobs.get(name.job)
-        return None if job is None else job.find(name)
+        return None if job is None else job.find_task(name)
 
     def unknown(self, name):
         """Whether nothing is known of the job of a task."""
@@ -127,7 +127,7 @@
             return
         self.finish(job, State.CANCELLED, "its caller cancelled it")
         # The cancelling itself is recorded, so it may be shown at once.
-        job.shown = State.CANCELLED
+        job.reported_state = State.CANCELLED
 
     def fail(self, job, reason):
         """Ends a job as failed."""
@@ -140,7 +140,7 @@
         for run in job.runs():
             self.stop_run(run)
         job.state = state
-        self.journal.change(job)
+        self.journal.record_job(job)
         self.retire(job)
         took_ms = now_ms - job.arrived_ms
         self.metrics.count("jobs_ended", state=state.value)
@@ -165,21 +165,21 @@
         step = task.step
         members = step.tasks if step.spec.gang else (task,)
         for member in members:
-            step.set_done(member)
+            step.mark_done(member)
             for run in member.runs:
                 if not step.spec.gang:
                     self.stop_run(run)
         job = step.job
         job.started = True
         self.close_done(job, step.occurrence)
-        return self.journal.change(job)
+        return self.journal.record_job(job)
 
     def close_done(self, job, occurrence):
         """Closes an occurrence, and the job, when all is done."""
         steps = job.steps.get(occurrence)
         if steps is None or not all(step.done for step in steps):
             return
-        job.close_occurrence(occurrence)
+        job.finish_occurrence(occurrence)
         if job.all_done and not job.state.final:
             self.finish(job, State.COMPLETED, "all tasks are done")
 
@@ -192,11 +192,11 @@
         count = len(counted.failed_attempts)
         if count >= job.rule.max_failures:
             self.fail(job, f"a task has failed {count} times")
-        return self.journal.change(job)
+        return self.journal.record_job(job)
 
     def on_durable(self, states):
         """Shows the final states that are now recorded."""
         for job, state in states:
             if state.final:
-                job.shown = state
+                job.reported_state = state
                 job.steps = {} if not job.runs() else job.steps
--- a/packages/cicadafold/src/cicadafold/dispatch/placing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/placing.py
@@ -148,7 +148,10 @@
                 )
                 for name, view in pool.items()
                 if name not in self.reserved
-                and (step.allowed is None or step.allowed.get(name))
+                and (
+                    step.allowed_by_worker is None
+                    or step.allowed_by_worker.get(name)
+                )
             ]
             found = reservation.reserve(self.demand(step), futures)
             if found is None or found.in_ms > LONGEST_RESERVED_MS:
@@ -194,14 +197,14 @@
             if job.inherited and not self.settled(job.rule.pool):
                 continue
             if job.spec.repeats:
-                job.open_occurrences(now_ms)
+                job.create_due_occurrences(now_ms)
             elif not job.steps:
-                job.occurrence(0)
+                job.steps_of(0)
             for steps in job.steps.values():
                 for step in steps:
-                    if step.done or not step.open(now_ms):
+                    if step.done or not step.is_ready(now_ms):
                         continue
-                    tasks = step.waiting(now_ms)
+                    tasks = step.startable_tasks(now_ms)
                     if tasks and self.startable(step, tasks, now_ms):
                         rank = self.rank_of(step, now_ms)
                         ranked.append((rank, step, tasks))
@@ -212,7 +215,9 @@
         """Whether a step may start tasks; a gang waits until it is whole."""
         if not step.spec.gang:
             return True
-        return len(tasks) == len(step.tasks) and now_ms >= step.held_until_ms
+        return (
+            len(tasks) == len(step.tasks) and now_ms >= step.gang_not_before_ms
+        )
 
     def rank_of(self, step, now_ms):
         """Returns the rank of a step, made unique by its name."""
@@ -256,12 +261,14 @@
         never |= self.very_slow
         if never:
             pool = {k: v for k, v in pool.items() if k not in never}
-        demand = self.demand(step, len(tasks), tickets, step.avoid | last)
+        demand = self.demand(
+            step, len(tasks), tickets, step.avoided_workers | last
+        )
         chosen = placement.place(demand, pool, rate=self.rate)
         if not chosen:
             return False
-        step.launches += 1
-        attempt = (self.term - 1) * ATTEMPTS_PER_TERM + step.launches
+        step.start_count += 1
+        attempt = (self.term - 1) * ATTEMPTS_PER_TERM + step.start_count
         started = []
         for task, name in zip(tasks, chosen):
             worker = self.workers[name]
@@ -270,7 +277,7 @@
                 name=task.name,
                 attempt=attempt,
                 worker=worker,
-                room=spec.room,
+                room=spec.reserved_resources,
                 state=runs.RunState.STARTING,
                 now_ms=now_ms,
             )
@@ -288,7 +295,7 @@
         spec = step.spec
         return rooms.Demand(
             tasks=spec.tasks if tasks is None else tasks,
-            need=spec.room,
+            need=spec.reserved_resources,
             gang=spec.gang,
             one_rack=spec.one_rack,
             label=spec.label,
@@ -302,7 +309,7 @@
     def log_start(self, step, attempt, chosen, now_ms):
         """Logs a decision to start tasks."""
         self.metrics.count("starts", len(chosen), queue=step.job.rule.name)
-        waited_ms = now_ms - step.opened_ms
+        waited_ms = now_ms - step.ready_ms
         self.metrics.record_us(
             "start_wait",
             waited_ms * MILLISECONDS,
--- a/packages/cicadafold/src/cicadafold/dispatch/term.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/term.py
@@ -18,9 +18,9 @@
 from cicadafold.dispatch import worker_table
 from cicadafold import exception
 from cicadafold.jobs import model
-from cicadafold.journal import accepting
-from cicadafold.journal import progress as progress_module
-from cicadafold.journal import reading
+from cicadafold.journal import accept_writer
+from cicadafold.journal import progress_writer
+from cicadafold.journal import reader
 from cicadafold.peers import asking
 from cicadafold.peers import messages
 from cicadafold.scheduling import estimates
@@ -93,7 +93,7 @@
         self.reason = ""
         self.learned = estimates.Estimates()
         self.group = None
-        self.journal = progress_module.ProgressWriter(
+        self.journal = progress_writer.ProgressWriter(
             store=store,
             term=number,
             metrics=metrics,
@@ -143,7 +143,7 @@
     def forget(self, job_id):
         """Forgets a job that nobody asks for any more."""
         self.table.forget(job_id)
-        self.journal_state.forget(job_id)
+        self.journal_state.remove_job(job_id)
 
     def step_down(self, reason):
         """Ends the term for good."""
@@ -229,16 +229,16 @@
         spawn(self.cell.registry.run())
         spawn(self.hand_over())
         try:
-            await progress_module.fence_partitions(self.store, self.number)
+            await progress_writer.fence_partitions(self.store, self.number)
         except exception.LogFenced as error:
             raise TermEnded("a later term has fenced the journal") from error
-        state = await reading.read_journal(self.store)
+        state = await reader.read_journal(self.store)
         self.journal_state = state
         self.table.rules = self.configuration.rules()
         self.restore(state)
         spawn(self.write_progress())
-        for partition in range(accepting.PARTITIONS):
-            tail = reading.JobsTail(
+        for partition in range(accept_writer.PARTITIONS):
+            tail = reader.JobsTail(
                 store=self.store,
                 partition=partition,
                 state=state,
@@ -280,7 +280,7 @@
             if job not in state.specs:
                 self.table.restore_ended(job, progress)
                 self.dropper.add(job)
-        self.dropper.homes = state.homes
+        self.dropper.homes = state.partitions
 
     async def hand_over(self):
         """Ends the term when another process takes it over."""
@@ -353,8 +353,8 @@
             return ended
         job = self.table.jobs.get(job_id)
         if job is not None:
-            if job.shown.final:
-                return job.shown
+            if job.reported_state.final:
+                return job.reported_state
             return (
                 model.JobState.RUNNING
                 if job.started
@@ -382,7 +382,7 @@
             since_ms: Monotonic time in milliseconds.
         """
         since_s = since_ms / clock.MILLISECONDS
-        return all(tail.whole_from_s > since_s for tail in self.tails)
+        return all(tail.complete_until_s > since_s for tail in self.tails)
 
     def health(self):
         """Returns what this term says of itself to peers."""
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_dropping.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_dropping.py
@@ -23,7 +23,7 @@
 
     return dropping.RecordDropper(
         store=types.SimpleNamespace(append=append),
-        journal=types.SimpleNamespace(drop=dropped.append),
+        journal=types.SimpleNamespace(record_removal=dropped.append),
         status_s=120.0,
         forget=forgotten.append,
     )
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_job_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_job_table.py
@@ -21,7 +21,7 @@
     def __init__(self):
         self.changed = []
 
-    def change(self, job):
+    def record_job(self, job):
         """Takes a changed job and returns its batch."""
         self.changed.append(job)
         return 1
@@ -79,9 +79,9 @@
     """A recorded failure that a worker lists again is the same one."""
     first = make_table()
     job = first.add(spec)
-    job.occurrence(0)
+    job.steps_of(0)
     first.task_failed(job.steps[0][0].tasks[0], 1)
-    recorded = records.progress_of(job, term=1, version=1)
+    recorded = records.progress_record(job, term=1, version=1)
     second = make_table()
     again = second.restore(spec, recorded, cancelled=False)
     task = again.steps[0][0].tasks[0]
@@ -95,22 +95,22 @@
     """A completed job is shown as such only when that is durable."""
     table = make_table()
     job = table.add(spec)
-    step = job.occurrence(0)[0]
+    step = job.steps_of(0)[0]
     for task in step.tasks:
         table.task_done(task)
     assert job.state is model.JobState.COMPLETED
-    assert not job.shown.final
+    assert not job.reported_state.final
     table.on_durable([(job, model.JobState.RUNNING)])
-    assert not job.shown.final
+    assert not job.reported_state.final
     table.on_durable([(job, job.state)])
-    assert job.shown is model.JobState.COMPLETED
+    assert job.reported_state is model.JobState.COMPLETED
 
 
 def test_cancelled_job_stays_cancelled(spec):
     """An end after the cancelling does not complete the job."""
     table = make_table()
     job = table.add(spec)
-    step = job.occurrence(0)[0]
+    step = job.steps_of(0)[0]
     table.cancel(job)
     for task in step.tasks:
         table.task_done(task)
@@ -122,10 +122,10 @@
     table = make_table()
     steps = (model.StepSpec(tasks=2, gang=True),)
     job = table.add(msgspec.structs.replace(spec, steps=steps))
-    first, second = job.occurrence(0)[0].tasks
+    first, second = job.steps_of(0)[0].tasks
     table.task_done(first)
     events = make_events(table)
-    end = model.End(1, second.name, 1, model.EndKind.DONE, "")
+    end = model.EndReport(1, second.name, 1, model.EndKind.DONE, "")
     worker = types.SimpleNamespace(report=types.SimpleNamespace(id="w"))
     assert events.ended(worker, end, None) == 1
     table.on_durable([(job, job.state)])
@@ -141,13 +141,13 @@
     stopped = []
     events = make_events(table, caught_up=False, stopped=stopped)
     name = model.TaskName(spec.id, 0, 0, 1)
-    events.unexpected(worker, model.TaskRow(name, 7, "", 30.0, 0.0))
+    events.unexpected(worker, model.RunReport(name, 7, "", 30.0, 0.0))
     events.stop_unknown()
     assert not stopped
     assert worker.view().cores_milli == 0
     job = table.add(spec)
     events.job_known(spec.id)
-    task = job.occurrence(0)[0].tasks[1]
+    task = job.steps_of(0)[0].tasks[1]
     assert [run.attempt for run in task.runs] == [7]
     assert worker.view().cores_milli == 15000
     assert not stopped
@@ -159,7 +159,7 @@
     stopped = []
     events = make_events(table, stopped=stopped)
     name = model.TaskName(spec.id, 0, 0, 1)
-    events.unexpected(worker, model.TaskRow(name, 7, "", 30.0, 0.0))
+    events.unexpected(worker, model.RunReport(name, 7, "", 30.0, 0.0))
     events.stop_unknown()
     assert [run.key for run in stopped] == [(name, 7)]
     events.stop_unknown()
@@ -179,5 +179,5 @@
     if known:
         table.add(spec)
     name = model.TaskName(spec.id, 0, 0, 1)
-    end = model.End(1, name, 1, model.EndKind.DONE, "")
+    end = model.EndReport(1, name, 1, model.EndKind.DONE, "")
     assert events.ended(worker, end, None) == batch
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
@@ -13,7 +13,7 @@
 from cicadafold.dispatch import worker_link
 from cicadafold import exception
 from cicadafold.jobs import model
-from cicadafold.jobs import run_state
+from cicadafold.jobs import runtime_state
 from cicadafold.journal import records
 from cicadafold.platform import worker_calls
 
@@ -90,7 +90,7 @@
 
     def __init__(self):
         self.durable_batch = 0
-        self.advanced = asyncio.Event()
+        self.batch_written = asyncio.Event()
 
 
 @pytest.fixture
@@ -105,8 +105,8 @@
         payload="",
         steps=(model.StepSpec(tasks=2, gang=True),),
     )
-    made = run_state.JobRun(spec=spec, arrived_ms=0.0, wall_offset_ms=0.0)
-    made.occurrence(0)
+    made = runtime_state.Job(spec=spec, arrived_ms=0.0, wall_offset_ms=0.0)
+    made.steps_of(0)
     return made
 
 
@@ -142,7 +142,7 @@
 def test_end_is_acknowledged_only_when_recorded(link, job):
     """An end is handled once, and acknowledged after its batch."""
     add_run(link, job, State.RUNNING)
-    end = model.End(
+    end = model.EndReport(
         1, job.steps[0][0].tasks[0].name, 1, model.EndKind.DONE, ""
     )
     link.calls.inventory = worker_calls.Inventory(1000, 1, [], [end])
@@ -221,8 +221,8 @@
 def test_gang_resumes_from_one_checkpoint(job):
     """All members resume from the checkpoint of the one furthest on."""
     step = job.steps[0][0]
-    step.tasks[0].save("early", 20.0)
-    step.tasks[1].save("late", 60.0)
+    step.tasks[0].save_checkpoint("early", 20.0)
+    step.tasks[1].save_checkpoint("late", 60.0)
     assert {step.checkpoint_for(task) for task in step.tasks} == {"late"}
 
 
@@ -288,7 +288,7 @@
     link.worker.fenced = True
     known = records.KnownWorkers(1, 1, held.record())
     link.worker.fenced = False
-    table = types.SimpleNamespace(find=job.find)
+    table = types.SimpleNamespace(find=job.find_task)
     held.take(known, table)
     assert held.settled("p")
     assert first.not_before_ms > now_ms + 6000.0
@@ -330,7 +330,7 @@
     """Its number and those behind it come again, and none is lost."""
     name = model.TaskName("ab", 0, 0, 0)
     found = [
-        model.End(number, name, number, model.EndKind.DONE, "")
+        model.EndReport(number, name, number, model.EndKind.DONE, "")
         for number in (1, 2, 3)
     ]
     link.calls.inventory = worker_calls.Inventory(1000, 1, [], found)
@@ -380,7 +380,7 @@
     run = add_run(link, job, State.RUNNING)
     sent_ms = clock.monotonic_ms()
     run.answered_ms = sent_ms + answered_ms
-    rows = [model.TaskRow(run.name, 1, "", 10.0, 0.0)] if listed else []
+    rows = [model.RunReport(run.name, 1, "", 10.0, 0.0)] if listed else []
     link.on_inventory(worker_calls.Inventory(1000, 2, rows, []), sent_ms)
     assert (run.key in link.worker.runs) is kept
     assert link.events.gone == ([] if kept else [(run, "reborn")])
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_table.py
@@ -20,10 +20,10 @@
     def __init__(self):
         self.batch = 0
         self.durable_batch = 0
-        self.advanced = asyncio.Event()
+        self.batch_written = asyncio.Event()
         self.listed = None
 
-    def note_workers(self, listed):
+    def record_workers(self, listed):
         """Takes a record and returns its batch."""
         self.batch += 1
         self.listed = listed
@@ -32,8 +32,8 @@
     def advance(self):
         """Makes all records durable."""
         self.durable_batch = self.batch
-        self.advanced.set()
-        self.advanced.clear()
+        self.batch_written.set()
+        self.batch_written.clear()
 
 
 def make_table():
@@ -61,7 +61,7 @@
 
 async def settle(table, journal):
     """Records the workers and makes the record durable."""
-    journal.advanced = asyncio.Event()
+    journal.batch_written = asyncio.Event()
     table.note(table.inheritance.record())
     opening = asyncio.create_task(table.open_recorded())
     await asyncio.sleep(0)
--- a/packages/cicadafold/src/cicadafold/dispatch/ticketing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/ticketing.py
@@ -55,13 +55,13 @@
         Returns:
             The call for advice, or None.
         """
-        if step.asking:
+        if step.advice_pending:
             return None
         narrow = tickets and self.too_narrow(step, tickets)
         if tickets and not narrow:
             if not self.runs_out(step, tickets, now_ms):
                 return None
-        known = step.allowed
+        known = step.allowed_by_worker
         if known is None:
             names = self.likely_workers(step, pool, ())
         elif narrow:
@@ -71,7 +71,7 @@
             names.extend(x for x in pool if x not in known)
         names = names[:MAX_ADVISED]
         if not names:
-            step.allowed = None
+            step.allowed_by_worker = None
             return None
         advice = step.job.rule.advice
         cost_ms = advice.base_ms + advice.per_host_ms * len(names)
@@ -101,7 +101,7 @@
         """Returns how many tasks a worker holds when nothing else runs."""
         view = worker.view()
         view.give(model.Resources(*worker.used))
-        return min(view.holds(spec.room), spec.tasks)
+        return min(view.holds(spec.reserved_resources), spec.tasks)
 
     def likely_workers(self, step, pool, known):
         """Returns workers to ask about, those with most room first.
--- a/packages/cicadafold/src/cicadafold/dispatch/watching.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/watching.py
@@ -76,12 +76,12 @@
             for job in self.table.active.values()
             for steps in job.steps.values()
             for step in steps
-            if step.opened_ms is not None
+            if step.ready_ms is not None
             and not step.done
-            and now_ms - step.opened_ms > LONG_WAIT_MS
-            and any(task.waiting for task in step.tasks)
+            and now_ms - step.ready_ms > LONG_WAIT_MS
+            and any(task.needs_start for task in step.tasks)
         ]
-        waiting.sort(key=lambda step: step.opened_ms)
+        waiting.sort(key=lambda step: step.ready_ms)
         for step in waiting[:MAX_REPORTED]:
             LOG.info("A step waits.", fields=waiting_fields(step, now_ms))
 
@@ -97,7 +97,7 @@
                 "A run stands still and is stopped.",
                 fields=runs.run_fields(run) | {"percent": run.percent},
             )
-            run.task.step.avoid.add(worker.report.id)
+            run.task.step.avoided_workers.add(worker.report.id)
             self.events.stop_run(run)
 
     def move_from(self, worker, now_ms):
@@ -169,14 +169,14 @@
         "request_id": step.job.spec.id,
         "step": step.number,
         "queue": step.job.rule.name,
-        "waited_ms": round(now_ms - step.opened_ms),
+        "waited_ms": round(now_ms - step.ready_ms),
         "slack_ms": round(step.job.arrived_ms + step.job.objective - now_ms),
         "tasks": len(step.tasks),
-        "waiting": sum(task.waiting for task in step.tasks),
-        "cores_milli": step.spec.room.cores_milli,
+        "waiting": sum(task.needs_start for task in step.tasks),
+        "cores_milli": step.spec.reserved_resources.cores_milli,
         "gang": step.spec.gang,
-        "allowed": sum((step.allowed or {}).values()),
+        "allowed": sum((step.allowed_by_worker or {}).values()),
         "tickets": tickets,
-        "asking": step.asking,
+        "asking": step.advice_pending,
         "inherited": step.job.inherited,
     }
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -102,7 +102,7 @@
         try:
             async with asyncio.timeout(RECORD_WAIT_S):
                 while not self.acknowledge():
-                    await self.journal.advanced.wait()
+                    await self.journal.batch_written.wait()
         except TimeoutError:
             return
 
@@ -287,7 +287,7 @@
                 run.percent_ms = now_ms
             run.percent = row.percent
             if run.task is not None:
-                run.task.save(row.checkpoint, row.percent)
+                run.task.save_checkpoint(row.checkpoint, row.percent)
 
     def rate(self, run, row, now_ms):
         """Takes the rate of a run's progress as one of its worker's."""
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
@@ -159,7 +159,7 @@
         Args:
             listed: Record of each worker.
         """
-        batch = self.journal.note_workers(listed)
+        batch = self.journal.record_workers(listed)
         self.opening.clear()
         for known in listed:
             worker = self.workers[known.report.id]
@@ -177,7 +177,7 @@
     async def open_recorded(self):
         """Opens workers whenever it is recorded that they are used."""
         while True:
-            await self.journal.advanced.wait()
+            await self.journal.batch_written.wait()
             durable = self.journal.durable_batch
             ready = [x for x in self.opening if x.open_batch <= durable]
             for worker in ready:
--- a/packages/cicadafold/src/cicadafold/election/campaign.py
+++ b/packages/cicadafold/src/cicadafold/election/candidate.py
@@ -9,34 +9,34 @@
 from cicadafold.peers import messages
 from cicadafold.telemetry import logs
 
-__all__ = ["Campaign"]
+__all__ = ["Candidate"]
 
 GROUP = "schedulers"
 TOPIC = "keyed.control"
-LEADING_PARTITION = 0
+SUCCESSOR_PARTITION = 0
 # The store's lowest time to live is in the settings; joins come at a third
 # of it, so that two may be lost.
 JOINS_PER_TTL = 3.0
 MILLISECONDS = 1000
-CLAIM_PAUSE_S = 0.3
+LOST_CLAIM_PAUSE_S = 0.3
 # Pause between looks at a scheduler that may be gone; its spread is wider
 # than the time of a claim.
-GONE_PAUSE_S = (0.1, 0.35)
+LOSS_CHECK_PAUSE_S = (0.1, 0.35)
 # A host of one whole core on an ample link is strong; others wait longer.
-STRONG = 1.0
-WEAK_PAUSE_S = 0.3
+FULL_PRIORITY = 1.0
+LOW_PRIORITY_DELAY_S = 0.3
 # A healthy scheduler answers within a round trip between regions.
 HEALTH_TIMEOUT_S = 0.25
 # A scheduler that the store serves again is well within a few reads.
 UNWELL_GRACE_MS = 1000.0
 # Time in which a new term is not judged by the group's choice.
 # It covers the recovery on a host with a narrow link.
-NEW_TERM_MS = 3000.0
+NEW_TERM_GRACE_MS = 3000.0
 
 LOG = logs.get_logger("election")
 
 
-class Campaign:
+class Candidate:
     """Keeps this process in the group and claims a term when it leads.
 
     The group only chooses who claims next and notices deaths. What counts
@@ -69,42 +69,42 @@
         member,
         address,
         ttl_ms,
-        serving,
+        is_serving,
         health,
         scheduler_gone,
-        ask_strong,
-        strength,
+        delegate_claim,
+        election_priority,
     ):
         self.store = store
         self.claims = claims
         self.member = member
         self.address = address
         self.ttl_ms = ttl_ms
-        self.serving = serving
+        self.is_serving = is_serving
         self.health = health
         self.scheduler_gone = scheduler_gone
-        self.ask_strong = ask_strong
-        self.weak = strength < STRONG
-        self.weak_pause_s = WEAK_PAUSE_S if self.weak else 0.0
+        self.delegate_claim = delegate_claim
+        self.low_priority = election_priority < FULL_PRIORITY
+        self.claim_delay_s = LOW_PRIORITY_DELAY_S if self.low_priority else 0.0
         self.generation = 0
-        self.leads = False
+        self.is_successor = False
         self.leaving = False
 
     async def run(self):
         """Joins again and again until the process leaves."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.follow_group())
-            group.create_task(self.replace_dead())
+            group.create_task(self.maintain_membership())
+            group.create_task(self.replace_lost_scheduler())
 
-    async def replace_dead(self):
+    async def replace_lost_scheduler(self):
         """Claims at once when the scheduler's process is gone.
 
         All processes may see that; a random pause lets one be first, and
         the others find its claim in the log.
         """
         while not self.leaving:
-            pause_s = random.uniform(*GONE_PAUSE_S)
-            await asyncio.sleep(pause_s + self.weak_pause_s)
+            pause_s = random.uniform(*LOSS_CHECK_PAUSE_S)
+            await asyncio.sleep(pause_s + self.claim_delay_s)
             newest = self.claims.newest
             if newest is None or newest.member == self.member:
                 continue
@@ -136,19 +136,19 @@
             LOG.debug("The claims cannot be read: %s", error)
         return self.newest_term() > term
 
-    async def follow_group(self):
+    async def maintain_membership(self):
         """Stays in the group and claims when it names this process."""
         pause_s = self.ttl_ms / MILLISECONDS / JOINS_PER_TTL
         while not self.leaving:
             try:
                 await self.join_once()
-                if self.leads and not await self.served():
-                    await self.replace()
+                if self.is_successor and not await self.scheduler_serves():
+                    await self.claim_or_delegate()
             except (exception.LogUnavailable, exception.LinkLost) as error:
                 LOG.debug("The group cannot be joined: %s", error)
             await asyncio.sleep(pause_s)
 
-    async def replace(self):
+    async def claim_or_delegate(self):
         """Claims the next term, if no strong host does it for a weak one.
 
         A weak host takes seconds to read the journal, and its link is full
@@ -156,8 +156,8 @@
         """
         newest = self.claims.newest
         term = self.newest_term()
-        if self.weak and newest is not None:
-            if await self.ask_strong(term, without=newest.address):
+        if self.low_priority and newest is not None:
+            if await self.delegate_claim(term, without=newest.address):
                 return
         await self.claim(after=term)
 
@@ -171,17 +171,17 @@
             generation=self.generation,
         )
         self.generation = found.generation
-        leads = (TOPIC, LEADING_PARTITION) in found.held
-        if leads != self.leads:
+        is_successor = (TOPIC, SUCCESSOR_PARTITION) in found.held
+        if is_successor != self.is_successor:
             LOG.info(
                 "The group names this process the next scheduler."
-                if leads
+                if is_successor
                 else "The group names another process.",
                 fields={"generation": found.generation},
             )
-        self.leads = leads
+        self.is_successor = is_successor
 
-    async def served(self):
+    async def scheduler_serves(self):
         """Whether a scheduler does its work, here or elsewhere.
 
         The group moves its choice whenever members come and go; a term
@@ -191,9 +191,9 @@
         if newest is None:
             return False
         if newest.member == self.member:
-            return self.serving()
+            return self.is_serving()
         age_ms = clock.monotonic_ms() - self.claims.newest_at_ms
-        if age_ms < NEW_TERM_MS:
+        if age_ms < NEW_TERM_GRACE_MS:
             # Links to a new scheduler are still made; one whose process
             # ends meanwhile is replaced without the group.
             return True
@@ -217,12 +217,12 @@
         )
         await self.claims.read_once(wait_ms=0)
         if term is None:
-            await asyncio.sleep(CLAIM_PAUSE_S)
+            await asyncio.sleep(LOST_CLAIM_PAUSE_S)
 
     async def leave(self):
         """Leaves the group, so that the next process need not wait."""
         self.leaving = True
-        self.leads = False
+        self.is_successor = False
         try:
             await self.store.leave(GROUP, self.member)
         except (exception.LogUnavailable, exception.LinkLost) as error:
--- a/packages/cicadafold/src/cicadafold/election/terms.py
+++ b/packages/cicadafold/src/cicadafold/election/terms.py
@@ -83,7 +83,7 @@
         self.offset = max(self.offset, start + len(page.entries))
         self.read_at_s = asyncio.get_running_loop().time()
         for number, (key, value) in enumerate(page.entries):
-            self.take(key, value, start + number)
+            self.apply_record(key, value, start + number)
 
     async def read_newest(self):
         """Reads the newest claim from the store."""
@@ -91,9 +91,9 @@
         self.offset = resume
         self.read_at_s = asyncio.get_running_loop().time()
         for record in found:
-            self.take(record.key, record.value, record.offset)
+            self.apply_record(record.key, record.value, record.offset)
 
-    def take(self, key, value, offset):
+    def apply_record(self, key, value, offset):
         """Takes a claim if it is newer than the newest known."""
         if key != KEY or not value:
             return
@@ -104,9 +104,9 @@
                 "A claim is damaged: %s", error, fields={"offset": offset}
             )
             return
-        self.follow(claim)
+        self.apply_claim(claim)
 
-    def follow(self, claim):
+    def apply_claim(self, claim):
         """Takes a claim that was read or announced, if it is newer."""
         if self.newest is not None and claim.term <= self.newest.term:
             return
--- a/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
+++ b/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cicadafold import clock
-from cicadafold.election import campaign
+from cicadafold.election import candidate
 from cicadafold.election import terms
 from cicadafold import exception
 from cicadafold.peers import messages
@@ -150,28 +150,30 @@
         async def ask(*, timeout_s):
             return health
 
-        made = campaign.Campaign(
+        made = candidate.Candidate(
             store=types.SimpleNamespace(failed_ms=-1e12),
             claims=tail,
             member="me",
             address="",
             ttl_ms=1000,
-            serving=lambda: serving,
+            is_serving=lambda: serving,
             health=ask,
             scheduler_gone=lambda: False,
-            ask_strong=None,
-            strength=1.0,
+            delegate_claim=None,
+            election_priority=1.0,
         )
-        assert await made.served() is served
+        assert await made.scheduler_serves() is served
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("strength", "strong_claims", "claims"),
+    ("election_priority", "strong_claims", "claims"),
     [(0.2, True, 0), (0.2, False, 1), (2.0, True, 1)],
 )
-def test_weak_host_lets_a_strong_one_claim(strength, strong_claims, claims):
+def test_weak_host_lets_a_strong_one_claim(
+    election_priority, strong_claims, claims
+):
     """It claims itself only if no strong host does."""
     asked, made = [], []
 
@@ -179,28 +181,28 @@
         tail = terms.ClaimsTail(store=None, on_claim=None)
         tail.newest = terms.Claim(member="other", address="a:1", term=3)
 
-        async def ask_strong(term, *, without):
+        async def delegate_claim(term, *, without):
             asked.append((term, without))
             return strong_claims
 
         async def claim(*, after):
             made.append(after)
 
-        found = campaign.Campaign(
+        found = candidate.Candidate(
             store=None,
             claims=tail,
             member="me",
             address="",
             ttl_ms=1000,
-            serving=None,
+            is_serving=None,
             health=None,
             scheduler_gone=None,
-            ask_strong=ask_strong,
-            strength=strength,
+            delegate_claim=delegate_claim,
+            election_priority=election_priority,
         )
         found.claim = claim
-        await found.replace()
+        await found.claim_or_delegate()
 
     asyncio.run(scenario())
     assert made == [3] * claims
-    assert asked == ([(3, "a:1")] if strength < 1.0 else [])
+    assert asked == ([(3, "a:1")] if election_priority < 1.0 else [])
--- a/packages/cicadafold/src/cicadafold/jobs/model.py
+++ b/packages/cicadafold/src/cicadafold/jobs/model.py
@@ -8,7 +8,7 @@
 __all__ = [
     "AdviceCost",
     "Configuration",
-    "End",
+    "EndReport",
     "EndKind",
     "HostReport",
     "JobId",
@@ -20,7 +20,7 @@
     "Resources",
     "StepSpec",
     "TaskName",
-    "TaskRow",
+    "RunReport",
 ]
 
 JobId = typing.NewType("JobId", str)
@@ -57,9 +57,9 @@
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
-    BROKEN = "broken"
-    ALONE = "alone"
+    LEASE_EXPIRED = "lapsed"
+    GANG_MEMBER_ENDED = "broken"
+    GANG_INCOMPLETE = "alone"
 
 
 class Resources(msgspec.Struct, frozen=True, array_like=True):
@@ -75,12 +75,12 @@
     memory_mb: int = 0
     accelerators: int = 0
 
-    def fits(self, room):
+    def fits(self, capacity):
         """Whether this amount fits into a room."""
         return (
-            self.cores_milli <= room.cores_milli
-            and self.memory_mb <= room.memory_mb
-            and self.accelerators <= room.accelerators
+            self.cores_milli <= capacity.cores_milli
+            and self.memory_mb <= capacity.memory_mb
+            and self.accelerators <= capacity.accelerators
         )
 
 
@@ -124,7 +124,7 @@
     may_miss: int = 0
 
     @property
-    def room(self):
+    def reserved_resources(self):
         """Room that one task takes from its worker's capacity."""
         if not self.fills:
             return self.need
@@ -216,7 +216,7 @@
     index: int
 
 
-class TaskRow(msgspec.Struct, frozen=True):
+class RunReport(msgspec.Struct, frozen=True):
     """A running task, as its worker reports it.
 
     Attributes:
@@ -234,7 +234,7 @@
     reading: float
 
 
-class End(msgspec.Struct, frozen=True):
+class EndReport(msgspec.Struct, frozen=True):
     """An end of a run, as its worker reports it.
 
     Attributes:
--- a/packages/cicadafold/src/cicadafold/jobs/run_state.py
+++ b/packages/cicadafold/src/cicadafold/jobs/runtime_state.py
@@ -2,12 +2,12 @@
 
 from cicadafold.jobs import model
 
-__all__ = ["JobRun", "StepRun", "TaskRun"]
+__all__ = ["Job", "Step", "Task"]
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
-class TaskRun:
+class Task:
     """One task of a step.
 
     Attributes:
@@ -46,19 +46,19 @@
         self.saved_percent = 0.0
         self.not_before_ms = 0.0
 
-    def save(self, checkpoint, percent):
+    def save_checkpoint(self, checkpoint, percent):
         """Takes a checkpoint that was made at some progress."""
         if checkpoint and checkpoint != self.checkpoint:
             self.checkpoint = checkpoint
             self.saved_percent = max(self.saved_percent, percent)
 
     @property
-    def waiting(self):
+    def needs_start(self):
         """Whether it needs a start and nothing of it runs."""
         return not self.done and not self.runs
 
 
-class StepRun:
+class Step:
     """One step of one occurrence of a job.
 
     Attributes:
@@ -85,25 +85,25 @@
         self.number = number
         self.spec = job.spec.steps[number]
         self.tasks = [
-            TaskRun(step=self, index=index) for index in range(self.spec.tasks)
+            Task(step=self, index=index) for index in range(self.spec.tasks)
         ]
         self.done_count = 0
         self.failed_attempts = set()
         self.tickets = {}
-        self.allowed = None
-        self.asking = False
-        self.asked_ms = -1e12
-        self.held_until_ms = 0.0
-        self.opened_ms = None
-        self.launches = 0
-        self.avoid = set()
+        self.allowed_by_worker = None
+        self.advice_pending = False
+        self.advice_requested_ms = -1e12
+        self.gang_not_before_ms = 0.0
+        self.ready_ms = None
+        self.start_count = 0
+        self.avoided_workers = set()
 
     @property
     def done(self):
         """Whether all tasks are done."""
         return self.done_count == len(self.tasks)
 
-    def set_done(self, task):
+    def mark_done(self, task):
         """Marks a task as done."""
         if not task.done:
             task.done = True
@@ -120,20 +120,20 @@
         best = max(self.tasks, key=lambda member: member.saved_percent)
         return best.checkpoint
 
-    def open(self, now_ms):
+    def is_ready(self, now_ms):
         """Whether its tasks may be started now."""
-        if self.opened_ms is not None:
+        if self.ready_ms is not None:
             return True
         job = self.job
         if now_ms < job.due_ms(self.occurrence):
             return False
         steps = job.steps[self.occurrence]
         if all(steps[number].done for number in self.spec.after):
-            self.opened_ms = now_ms
+            self.ready_ms = now_ms
             return True
         return False
 
-    def waiting(self, now_ms):
+    def startable_tasks(self, now_ms):
         """Returns the tasks that need a start."""
         return [
             task
@@ -142,7 +142,7 @@
         ]
 
 
-class JobRun:
+class Job:
     """One accepted job.
 
     Attributes:
@@ -166,7 +166,7 @@
         self.steps = {}
         self.finished = set()
         self.state = model.JobState.QUEUED
-        self.shown = model.JobState.QUEUED
+        self.reported_state = model.JobState.QUEUED
         self.started = False
         self.inherited = False
         self.objective = None
@@ -178,25 +178,25 @@
         due = self.spec.first_due_ms + occurrence * self.spec.interval_ms
         return due - self.wall_offset_ms
 
-    def open_occurrences(self, now_ms):
+    def create_due_occurrences(self, now_ms):
         """Creates the steps of the occurrences that are due."""
         for number in range(self.spec.occurrences):
             if number in self.steps or number in self.finished:
                 continue
             if now_ms < self.due_ms(number):
                 return
-            self.occurrence(number)
+            self.steps_of(number)
 
-    def occurrence(self, number):
+    def steps_of(self, number):
         """Returns the steps of an occurrence, created when needed."""
         steps = self.steps.get(number)
         if steps is None:
             steps = self.steps[number] = []
             for step in range(len(self.spec.steps)):
-                steps.append(StepRun(job=self, occurrence=number, number=step))
+                steps.append(Step(job=self, occurrence=number, number=step))
         return steps
 
-    def find(self, name):
+    def find_task(self, name):
         """Returns the task of a name, None if there is none."""
         if name.occurrence in self.finished:
             return None
@@ -206,10 +206,10 @@
             return None
         if not 0 <= name.step < len(self.spec.steps):
             return None
-        tasks = self.occurrence(name.occurrence)[name.step].tasks
+        tasks = self.steps_of(name.occurrence)[name.step].tasks
         return tasks[name.index] if name.index < len(tasks) else None
 
-    def close_occurrence(self, number):
+    def finish_occurrence(self, number):
         """Drops the steps of an occurrence that is done."""
         self.finished.add(number)
         self.steps.pop(number, None)
--- a/packages/cicadafold/src/cicadafold/journal/accepting.py
+++ b/packages/cicadafold/src/cicadafold/journal/accept_writer.py
@@ -19,7 +19,7 @@
 LOG = logs.get_logger("accept")
 
 
-class Pending:
+class PendingRecord:
     """A record that waits until it is durable.
 
     Attributes:
@@ -32,7 +32,7 @@
         self.entry = entry
         self.deadline_s = deadline_s
         self.future = future
-        self.doubtful = False
+        self.unconfirmed = False
 
 
 class AcceptWriter:
@@ -52,7 +52,7 @@
         self.partition = first_partition % PARTITIONS
         self.metrics = metrics
         self.queue = []
-        self.wanted = asyncio.Event()
+        self.batch_requested = asyncio.Event()
         self.failing_since_s = None
 
     async def write(self, key, value, *, deadline_s):
@@ -68,14 +68,14 @@
             OutcomeUnknown: The record may be in the log.
         """
         if not self.store.reachable:
-            raise out_of_reach()
-        pending = Pending(
+            raise store_unreachable()
+        pending = PendingRecord(
             entry=(key, value),
             deadline_s=deadline_s,
             future=asyncio.get_running_loop().create_future(),
         )
         self.queue.append(pending)
-        self.wanted.set()
+        self.batch_requested.set()
         await pending.future
 
     async def run(self):
@@ -86,14 +86,14 @@
         """
         loop = asyncio.get_running_loop()
         while True:
-            await self.wanted.wait()
-            batch = self.take_batch()
+            await self.batch_requested.wait()
+            batch = self.next_batch()
             while batch:
                 batch = await self.append(batch, loop)
                 if batch:
                     await asyncio.sleep(RETRY_PAUSE_S)
 
-    def take_batch(self):
+    def next_batch(self):
         """Takes waiting records up to the largest batch."""
         size = 0
         count = 0
@@ -105,12 +105,12 @@
         batch = self.queue[:count]
         del self.queue[:count]
         if not self.queue:
-            self.wanted.clear()
+            self.batch_requested.clear()
         return batch
 
     async def append(self, batch, loop):
         """Appends a batch and returns the records to try again."""
-        batch = self.drop_expired(batch, loop.time())
+        batch = self.fail_expired(batch, loop.time())
         if not batch:
             return []
         left_s = max(p.deadline_s for p in batch) - loop.time()
@@ -124,19 +124,19 @@
             )
         except exception.LinkLost as error:
             for pending in batch:
-                pending.doubtful = True
-            self.leave_partition(partition, loop, error)
+                pending.unconfirmed = True
+            self.switch_partition(partition, loop, error)
             return batch
         except exception.LogUnavailable as error:
-            self.leave_partition(partition, loop, error)
+            self.switch_partition(partition, loop, error)
             return batch
-        self.regained(loop)
+        self.report_recovery(loop)
         for pending in batch:
             if not pending.future.done():
                 pending.future.set_result(None)
         return []
 
-    def regained(self, loop):
+    def report_recovery(self, loop):
         """Notes that the store takes records again."""
         if self.failing_since_s is None:
             return
@@ -144,7 +144,7 @@
         self.failing_since_s = None
         LOG.info("The store takes records again.", fields={"lost_s": lost_s})
 
-    def leave_partition(self, partition, loop, error):
+    def switch_partition(self, partition, loop, error):
         """Goes on with the next partition after a failure."""
         if self.failing_since_s is None:
             self.failing_since_s = loop.time()
@@ -156,7 +156,7 @@
         if self.partition == partition:
             self.partition = (partition + 1) % PARTITIONS
 
-    def drop_expired(self, batch, now_s):
+    def fail_expired(self, batch, now_s):
         """Answers the records whose callers stop waiting."""
         kept = []
         # A store out of reach is not waited for: another host may reach
@@ -166,7 +166,7 @@
                 continue
             if now_s < pending.deadline_s and self.store.reachable:
                 kept.append(pending)
-            elif pending.doubtful:
+            elif pending.unconfirmed:
                 pending.future.set_exception(
                     exception.OutcomeUnknown(
                         message="The store did not confirm the record.",
@@ -174,11 +174,11 @@
                     )
                 )
             else:
-                pending.future.set_exception(out_of_reach())
+                pending.future.set_exception(store_unreachable())
         return kept
 
 
-def out_of_reach():
+def store_unreachable():
     """Returns the error of a record that was not sent to the store."""
     return exception.LogUnavailable(
         message="The store takes no records.",
--- a/packages/cicadafold/src/cicadafold/journal/progress.py
+++ b/packages/cicadafold/src/cicadafold/journal/progress_writer.py
@@ -12,7 +12,7 @@
 PARTITIONS = 2
 WRITER = "scheduler"
 # Collects the ends of a moment into one append; each append is paid for.
-GATHER_S = 0.02
+BATCH_DELAY_S = 0.02
 RETRY_PAUSE_S = 0.05
 MAX_BATCH_JOBS = 400
 
@@ -26,14 +26,14 @@
         LogFenced: A later term has begun.
     """
     for partition in range(PARTITIONS):
-        await until_answered(
+        await retry_until_answered(
             lambda at=partition: store.append(
                 records.PROGRESS_TOPIC, at, [], writer=(WRITER, term, 0)
             )
         )
 
 
-async def until_answered(call):
+async def retry_until_answered(call):
     """Repeats a call until it has an answer."""
     while True:
         try:
@@ -45,7 +45,7 @@
             await asyncio.sleep(RETRY_PAUSE_S)
 
 
-class Lane:
+class PartitionState:
     """One partition as this writer sees it.
 
     Attributes:
@@ -55,7 +55,7 @@
 
     def __init__(self):
         self.sequence = 0
-        self.doubtful = None
+        self.unconfirmed = None
 
 
 class ProgressWriter:
@@ -81,26 +81,26 @@
         self.on_durable = on_durable
         self.version = 0
         self.changed = {}
-        self.dropped = []
+        self.removed = []
         self.workers = None
         self.batch = 0
         self.durable_batch = 0
-        self.wanted = asyncio.Event()
-        self.advanced = asyncio.Event()
-        self.lanes = [Lane() for _ in range(PARTITIONS)]
-        self.lane = 0
+        self.batch_requested = asyncio.Event()
+        self.batch_written = asyncio.Event()
+        self.partitions = [PartitionState() for _ in range(PARTITIONS)]
+        self.current_partition = 0
 
-    def change(self, job):
+    def record_job(self, job):
         """Notes that a job has changed.
 
         Returns:
             Number of the batch that will hold the change.
         """
         self.changed[job.spec.id] = job
-        self.wanted.set()
+        self.batch_requested.set()
         return self.batch + 1
 
-    def note_workers(self, workers):
+    def record_workers(self, workers):
         """Records the workers on which tasks may be started.
 
         Returns:
@@ -108,13 +108,13 @@
         """
         self.version += 1
         self.workers = records.KnownWorkers(self.term, self.version, workers)
-        self.wanted.set()
+        self.batch_requested.set()
         return self.batch + 1
 
-    def drop(self, job):
+    def record_removal(self, job):
         """Forgets the progress of a job."""
-        self.dropped.append(job)
-        self.wanted.set()
+        self.removed.append(job)
+        self.batch_requested.set()
 
     async def run(self):
         """Records changes until a later term begins.
@@ -123,26 +123,26 @@
             LogFenced: A later term has begun.
         """
         while True:
-            await self.wanted.wait()
-            await asyncio.sleep(GATHER_S)
-            self.wanted.clear()
+            await self.batch_requested.wait()
+            await asyncio.sleep(BATCH_DELAY_S)
+            self.batch_requested.clear()
             jobs = list(self.changed.values())
             self.changed.clear()
             self.batch += 1
             # A job may change while its record is on the way.
             states = [(job, job.state) for job in jobs]
-            await self.record(jobs)
+            await self.write_batch(jobs)
             self.durable_batch = self.batch
             self.on_durable(states)
-            self.advanced.set()
-            self.advanced.clear()
+            self.batch_written.set()
+            self.batch_written.clear()
 
-    async def record(self, jobs):
+    async def write_batch(self, jobs):
         """Records a batch of jobs, in as many appends as it needs."""
         made = []
         for job in jobs:
             self.version += 1
-            progress = records.progress_of(
+            progress = records.progress_record(
                 job, term=self.term, version=self.version
             )
             made.append((job.spec.id, records.encode(progress)))
@@ -150,45 +150,45 @@
             entry = records.encode(self.workers)
             made.append((records.WORKERS_KEY, entry))
             self.workers = None
-        made.extend((name, b"") for name in self.dropped)
-        self.dropped.clear()
+        made.extend((name, b"") for name in self.removed)
+        self.removed.clear()
         for start in range(0, len(made), MAX_BATCH_JOBS):
             await self.append(made[start : start + MAX_BATCH_JOBS])
 
     async def append(self, made):
         """Appends records to the first partition that takes them."""
         while True:
-            lane = self.lanes[self.lane]
+            partition = self.partitions[self.current_partition]
             try:
-                if lane.doubtful is not None:
-                    await self.settle(lane)
-                lane.sequence += 1
-                lane.doubtful = made
-                await self.settle(lane)
+                if partition.unconfirmed is not None:
+                    await self.send_unconfirmed(partition)
+                partition.sequence += 1
+                partition.unconfirmed = made
+                await self.send_unconfirmed(partition)
                 return
             except exception.LogUnavailable as error:
                 LOG.warning("Progress was not taken: %s", error)
             except exception.LinkLost as error:
                 LOG.warning("Progress is in doubt: %s", error)
-            self.lane = (self.lane + 1) % PARTITIONS
+            self.current_partition = (self.current_partition + 1) % PARTITIONS
             await asyncio.sleep(RETRY_PAUSE_S)
 
-    async def settle(self, lane):
+    async def send_unconfirmed(self, partition):
         """Sends the lane's newest append until it is answered."""
-        writer = (WRITER, self.term, lane.sequence)
+        writer = (WRITER, self.term, partition.sequence)
         try:
             await self.store.append(
                 records.PROGRESS_TOPIC,
-                self.lanes.index(lane),
-                lane.doubtful,
+                self.partitions.index(partition),
+                partition.unconfirmed,
                 writer=writer,
             )
         except exception.LogOutOfSequence as error:
-            if error.expected <= lane.sequence:
-                lane.sequence = error.expected - 1
-                lane.doubtful = None
+            if error.expected <= partition.sequence:
+                partition.sequence = error.expected - 1
+                partition.unconfirmed = None
                 raise exception.LogUnavailable(
                     message="The sequence was reset.",
                     remedy="The append is repeated.",
                 ) from error
-        lane.doubtful = None
+        partition.unconfirmed = None
--- a/packages/cicadafold/src/cicadafold/journal/reading.py
+++ b/packages/cicadafold/src/cicadafold/journal/reader.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from cicadafold import exception
-from cicadafold.journal import accepting
-from cicadafold.journal import progress as progress_module
+from cicadafold.journal import accept_writer
+from cicadafold.journal import progress_writer
 from cicadafold.journal import records
 from cicadafold.telemetry import logs
 
@@ -36,20 +36,20 @@
     cancelled: set
     progress: dict
     offsets: dict
-    homes: dict
+    partitions: dict
     workers: records.KnownWorkers | None = None
 
-    def add(self, partition, key, value):
+    def apply(self, partition, key, value):
         """Takes a record of the jobs topic.
 
         Returns:
             The job's identifier if it is new to this state, else None.
         """
-        cancelling, job = records.read_key(key)
+        cancelling, job = records.parse_key(key)
         if not value:
-            self.homes.pop(job, None)
+            self.partitions.pop(job, None)
             return None
-        self.homes.setdefault(job, set()).add(partition)
+        self.partitions.setdefault(job, set()).add(partition)
         if cancelling:
             known = job in self.cancelled
             self.cancelled.add(job)
@@ -67,21 +67,21 @@
             return None
         return job
 
-    def forget(self, job):
+    def remove_job(self, job):
         """Forgets an ended job."""
         self.specs.pop(job, None)
         self.cancelled.discard(job)
         self.progress.pop(job, None)
-        self.homes.pop(job, None)
+        self.partitions.pop(job, None)
 
 
 async def read_journal(store):
     """Reads all partitions to their ends."""
     state = JournalState({}, set(), {}, {}, {})
     async with asyncio.TaskGroup() as group:
-        for partition in range(accepting.PARTITIONS):
+        for partition in range(accept_writer.PARTITIONS):
             group.create_task(read_jobs(store, partition, state))
-        for partition in range(progress_module.PARTITIONS):
+        for partition in range(progress_writer.PARTITIONS):
             group.create_task(read_progress(store, partition, state))
     return state
 
@@ -104,7 +104,7 @@
     """Reads one partition of accepted and cancelled jobs."""
     found, resume = await read_newest(store, records.JOBS_TOPIC, partition)
     for record in found:
-        state.add(partition, record.key, record.value)
+        state.apply(partition, record.key, record.value)
     state.offsets[partition] = resume
 
 
@@ -116,7 +116,7 @@
         if not record.value:
             continue
         if record.key == records.WORKERS_KEY:
-            take_workers(state, record.value)
+            apply_workers(state, record.value)
             continue
         try:
             progress = records.decode_progress(record.value)
@@ -133,7 +133,7 @@
             state.progress[record.key] = progress
 
 
-def take_workers(state, value):
+def apply_workers(state, value):
     """Takes the record of the known workers if it is the newest."""
     try:
         found = records.decode_workers(value)
@@ -167,7 +167,7 @@
         self.state = state
         self.on_job = on_job
         self.read_at_s = asyncio.get_running_loop().time()
-        self.whole_from_s = 0.0
+        self.complete_until_s = 0.0
         self.failing = False
 
     async def run(self):
@@ -175,15 +175,15 @@
         while True:
             try:
                 await self.read_once()
-                self.note(None)
+                self.track_read_error(None)
                 await asyncio.sleep(TAIL_PAUSE_S)
             except exception.LogTrimmed:
-                await self.read_again()
+                await self.reload()
             except (exception.LogUnavailable, exception.LinkLost) as error:
-                self.note(error)
+                self.track_read_error(error)
                 await asyncio.sleep(RETRY_PAUSE_S)
 
-    def note(self, error):
+    def track_read_error(self, error):
         """Logs that the partition was lost or regained."""
         if (error is not None) == self.failing:
             return
@@ -212,11 +212,11 @@
         self.read_at_s = loop.time()
         self.state.offsets[self.partition] += len(page.entries)
         for key, value in page.entries:
-            self.take(key, value)
+            self.apply(key, value)
         if self.state.offsets[self.partition] >= page.end:
-            self.whole_from_s = begun_s
+            self.complete_until_s = begun_s
 
-    async def read_again(self):
+    async def reload(self):
         """Reads the newest records after the history was deleted."""
         LOG.warning(
             "The history of new jobs is gone; their newest records are read.",
@@ -226,11 +226,11 @@
             self.store, records.JOBS_TOPIC, self.partition
         )
         for record in found:
-            self.take(record.key, record.value)
+            self.apply(record.key, record.value)
         self.state.offsets[self.partition] = resume
 
-    def take(self, key, value):
+    def apply(self, key, value):
         """Hands on the job of a new record."""
-        job = self.state.add(self.partition, key, value)
+        job = self.state.apply(self.partition, key, value)
         if job is not None:
             self.on_job(job)
--- a/packages/cicadafold/src/cicadafold/journal/records.py
+++ b/packages/cicadafold/src/cicadafold/journal/records.py
@@ -17,15 +17,15 @@
     "decode_progress",
     "decode_spec",
     "decode_workers",
-    "drop_records",
-    "progress_of",
-    "read_key",
+    "job_keys",
+    "progress_record",
+    "parse_key",
 ]
 
 JOBS_TOPIC = "keyed.jobs"
 PROGRESS_TOPIC = "keyed.progress"
-ACCEPT = "a/"
-CANCEL = "x/"
+ACCEPT_PREFIX = "a/"
+CANCEL_PREFIX = "x/"
 PREFIX_SIZE = 2
 # Key of the workers in the progress topic; no job has such an identifier.
 WORKERS_KEY = "workers"
@@ -55,7 +55,7 @@
     finished: list[int] = []
     done: list[tuple[int, int, str]] = []
     failures: list[tuple[int, int, int, list[int]]] = []
-    saved: list[tuple[int, int, int, str, float]] = []
+    checkpoints: list[tuple[int, int, int, str, float]] = []
 
 
 decode_progress = msgspec.msgpack.Decoder(JobProgress).decode
@@ -93,20 +93,20 @@
 
 def accept_record(spec):
     """Returns key and value of an acceptance."""
-    return ACCEPT + spec.id, encode(spec)
+    return ACCEPT_PREFIX + spec.id, encode(spec)
 
 
 def cancel_record(job):
     """Returns key and value of a cancelling."""
-    return CANCEL + job, b"1"
+    return CANCEL_PREFIX + job, b"1"
 
 
-def drop_records(job):
+def job_keys(job):
     """Returns the keys that are dropped when a job is forgotten."""
-    return [ACCEPT + job, CANCEL + job]
+    return [ACCEPT_PREFIX + job, CANCEL_PREFIX + job]
 
 
-def read_key(key):
+def parse_key(key):
     """Splits a key of the jobs topic.
 
     Returns:
@@ -116,10 +116,10 @@
         >>> read_key("x/ab")
         (True, 'ab')
     """
-    return key.startswith(CANCEL), key[PREFIX_SIZE:]
+    return key.startswith(CANCEL_PREFIX), key[PREFIX_SIZE:]
 
 
-def progress_of(job, *, term, version):
+def progress_record(job, *, term, version):
     """Returns the progress of a job as a record."""
     progress = JobProgress(
         term, version, job.state.value, sorted(job.finished)
@@ -128,11 +128,11 @@
         return progress
     for occurrence, steps in job.steps.items():
         for step in steps:
-            add_step(progress, occurrence, step)
+            add_step_progress(progress, occurrence, step)
     return progress
 
 
-def add_step(progress, occurrence, step):
+def add_step_progress(progress, occurrence, step):
     """Adds what is known of a step to a record."""
     bits = 0
     for task in step.tasks:
@@ -144,7 +144,7 @@
             failed = sorted(task.failed_attempts)
             progress.failures.append((*where, failed))
         if task.checkpoint:
-            progress.saved.append(
+            progress.checkpoints.append(
                 (*where, task.checkpoint, task.saved_percent)
             )
     if bits:
@@ -156,23 +156,23 @@
 
 def apply_progress(job, progress):
     """Sets a job to what a record says of it."""
-    job.state = job.shown = model.JobState(progress.state)
+    job.state = job.reported_state = model.JobState(progress.state)
     job.finished = set(progress.finished)
     for number in job.finished:
         job.steps.pop(number, None)
     if job.state.final:
         return
     for occurrence, number, text in progress.done:
-        step = job.occurrence(occurrence)[number]
+        step = job.steps_of(occurrence)[number]
         bits = int(text, 16)
         for task in step.tasks:
             if bits >> task.index & 1:
-                step.set_done(task)
+                step.mark_done(task)
     for occurrence, number, index, failed in progress.failures:
-        step = job.occurrence(occurrence)[number]
+        step = job.steps_of(occurrence)[number]
         counted = step if index < 0 else step.tasks[index]
         counted.failed_attempts = set(failed)
-    for occurrence, number, index, checkpoint, percent in progress.saved:
-        task = job.occurrence(occurrence)[number].tasks[index]
-        task.save(checkpoint, percent)
+    for occurrence, number, index, checkpoint, percent in progress.checkpoints:
+        task = job.steps_of(occurrence)[number].tasks[index]
+        task.save_checkpoint(checkpoint, percent)
     job.started = bool(progress.done or progress.failures or job.finished)
--- a/packages/cicadafold/src/cicadafold/journal/tests/test_writers.py
+++ b/packages/cicadafold/src/cicadafold/journal/tests/test_writers.py
@@ -6,9 +6,9 @@
 
 from cicadafold import exception
 from cicadafold.jobs import model
-from cicadafold.jobs import run_state
-from cicadafold.journal import accepting
-from cicadafold.journal import progress
+from cicadafold.jobs import runtime_state
+from cicadafold.journal import accept_writer
+from cicadafold.journal import progress_writer
 from cicadafold.journal import records
 from cicadafold.telemetry import metrics
 
@@ -67,14 +67,14 @@
             model.StepSpec(tasks=2, after=(0,), gang=True),
         ),
     )
-    made = run_state.JobRun(spec=spec, arrived_ms=0.0, wall_offset_ms=0.0)
-    made.occurrence(0)
+    made = runtime_state.Job(spec=spec, arrived_ms=0.0, wall_offset_ms=0.0)
+    made.steps_of(0)
     return made
 
 
 async def written(store, deadline_s=1.0):
     """Writes one record and returns what came of it."""
-    writer = accepting.AcceptWriter(
+    writer = accept_writer.AcceptWriter(
         store=store, first_partition=0, metrics=metrics.Metrics()
     )
     running = asyncio.create_task(writer.run())
@@ -121,13 +121,13 @@
 
     async def scenario():
         store = FakeStore([lost(), lost()])
-        writer = progress.ProgressWriter(
+        writer = progress_writer.ProgressWriter(
             store=store,
             term=5,
             metrics=metrics.Metrics(),
             on_durable=lambda jobs: None,
         )
-        writer.change(job)
+        writer.record_job(job)
         running = asyncio.create_task(writer.run())
         while writer.durable_batch < 1:
             await asyncio.sleep(0.01)
@@ -147,13 +147,13 @@
     fenced = exception.LogFenced(message="", remedy="")
 
     async def scenario():
-        writer = progress.ProgressWriter(
+        writer = progress_writer.ProgressWriter(
             store=FakeStore([fenced]),
             term=5,
             metrics=metrics.Metrics(),
             on_durable=lambda jobs: None,
         )
-        writer.change(job)
+        writer.record_job(job)
         await writer.run()
 
     with pytest.raises(exception.LogFenced):
@@ -163,12 +163,12 @@
 def test_progress_survives_its_record(job):
     """Done tasks, failures and checkpoints come back from a record."""
     step = job.steps[0][0]
-    step.set_done(step.tasks[69])
+    step.mark_done(step.tasks[69])
     step.tasks[3].failed_attempts.add(7)
-    step.tasks[4].save("c4", 40.0)
+    step.tasks[4].save_checkpoint("c4", 40.0)
     job.steps[0][1].failed_attempts.add(8)
-    record = records.encode(records.progress_of(job, term=2, version=9))
-    restored = run_state.JobRun(
+    record = records.encode(records.progress_record(job, term=2, version=9))
+    restored = runtime_state.Job(
         spec=job.spec, arrived_ms=0.0, wall_offset_ms=0.0
     )
     records.apply_progress(restored, records.decode_progress(record))
@@ -189,7 +189,7 @@
 
     async def scenario():
         store = SlowStore()
-        writer = accepting.AcceptWriter(
+        writer = accept_writer.AcceptWriter(
             store=store, first_partition=0, metrics=metrics.Metrics()
         )
         running = asyncio.create_task(writer.run())
--- a/packages/cicadafold/src/cicadafold/platform/wire.py
+++ b/packages/cicadafold/src/cicadafold/platform/wire.py
@@ -324,7 +324,7 @@
 def task_row(row):
     """Decodes a row of the running tasks."""
     reading = float(row[4]) if len(row) > 4 else 0.0
-    return model.TaskRow(
+    return model.RunReport(
         task_name(row[0]),
         int(row[1]),
         str(row[2] or ""),
@@ -335,7 +335,7 @@
 
 def end(row):
     """Decodes a row of the finished runs."""
-    return model.End(
+    return model.EndReport(
         int(row[0]),
         task_name(row[1]),
         int(row[2]),
--- a/packages/cicadafold/src/cicadafold/platform/worker_calls.py
+++ b/packages/cicadafold/src/cicadafold/platform/worker_calls.py
@@ -82,8 +82,8 @@
 
     clock_ms: int
     born_ms: int
-    rows: list[model.TaskRow]
-    ends: list[model.End]
+    rows: list[model.RunReport]
+    ends: list[model.EndReport]
 
 
 class WorkerCalls:
