--- a/packages/cicadafold/src/cicadafold/journal/records.py
+++ b/packages/cicadafold/src/cicadafold/journal/records.py
@@ -113,7 +113,7 @@
         Whether it is a cancelling, and the job's identifier.
 
     Examples:
-        >>> read_key("x/ab")
+        >>> parse_key("x/ab")
         (True, 'ab')
     """
     return key.startswith(CANCEL_PREFIX), key[PREFIX_SIZE:]
