--- a/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
+++ b/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
@@ -168,12 +168,10 @@
 
 
 @pytest.mark.parametrize(
-    ("election_priority", "strong_claims", "claims"),
+    ("strength", "strong_claims", "claims"),
     [(0.2, True, 0), (0.2, False, 1), (2.0, True, 1)],
 )
-def test_weak_host_lets_a_strong_one_claim(
-    election_priority, strong_claims, claims
-):
+def test_weak_host_lets_a_strong_one_claim(strength, strong_claims, claims):
     """It claims itself only if no strong host does."""
     asked, made = [], []
 
@@ -198,11 +196,11 @@
             health=None,
             scheduler_gone=None,
             delegate_claim=delegate_claim,
-            election_priority=election_priority,
+            election_priority=strength,
         )
         found.claim = claim
         await found.claim_or_delegate()
 
     asyncio.run(scenario())
     assert made == [3] * claims
-    assert asked == ([(3, "a:1")] if election_priority < 1.0 else [])
+    assert asked == ([(3, "a:1")] if strength < 1.0 else [])
