--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -162,7 +162,7 @@
     def on_configuration(self, configuration):
         """Hands a new configuration to the term."""
         if self.term is not None:
-            self.term.table.configure(configuration)
+            self.term.job_table.configure(configuration)
 
     def on_claim(self, claim):
         """Begins or ends a term as the newest claim says."""
@@ -179,10 +179,10 @@
             number=claim.term,
             store=self.store,
             registry=registry.RegistrySource(store=self.store),
-            make_calls=self.make_calls,
-            advice_lines=self.peer_handles,
+            make_client=self.make_calls,
+            list_peers=self.peer_handles,
             configuration=self.routes,
-            confirm=lambda: self.claims.read_once(wait_ms=0),
+            read_newest_claim=lambda: self.claims.read_once(wait_ms=0),
             longest_lease_ms=settings.longest_lease_ms,
             status_s=settings.status_s,
             uses_advice=bool(settings.advice_address),
--- a/packages/cicadafold/src/cicadafold/peers/scheduler_client.py
+++ b/packages/cicadafold/src/cicadafold/peers/scheduler_client.py
@@ -34,7 +34,7 @@
         """
         term = self.local()
         if term is not None:
-            return term.state_of(job)
+            return term.job_state(job)
         reply = await self.remote.call(
             lambda number: messages.StateQuery(number, job),
             timeout_s=timeout_s,
@@ -90,7 +90,7 @@
         """Tells the scheduler of a durable job; the journal tells it too."""
         term = self.local()
         if term is not None:
-            term.on_accepted(spec)
+            term.on_job_accepted(spec)
         elif self.remote.link is not None:
             await self.remote.link.send_if_open(messages.JobAccepted(spec))
 
@@ -98,7 +98,7 @@
         """Tells the scheduler of a durable cancelling."""
         term = self.local()
         if term is not None:
-            term.on_cancelled(job)
+            term.on_job_cancelled(job)
         elif self.remote.link is not None:
             await self.remote.link.send_if_open(messages.JobCancelled(job))
 
@@ -139,7 +139,7 @@
 async def answer_state(node, query, _):
     """Tells a peer the state of a job."""
     try:
-        state = node.serving_term().state_of(query.job)
+        state = node.serving_term().job_state(query.job)
     except exception.Starting:
         return messages.StateReply(query.number, False)
     shown = None if state is None else state.value
@@ -169,14 +169,14 @@
 async def handle_accepted(node, message, _):
     """Takes a job that a peer has accepted."""
     if node.term is not None:
-        node.term.on_accepted(message.spec)
+        node.term.on_job_accepted(message.spec)
 
 
 @link.handles(messages.JobCancelled)
 async def handle_cancelled(node, message, _):
     """Takes a cancelling that a peer has recorded."""
     if node.term is not None:
-        node.term.on_cancelled(message.job)
+        node.term.on_job_cancelled(message.job)
 
 
 @link.handles(messages.TakeOver)
