--- a/packages/cicadafold/src/cicadafold/job_service/__init__.py
+++ b/packages/cicadafold/src/cicadafold/job_service/__init__.py
@@ -1,1 +1,1 @@
-"""Calls of the callers of jobs."""
+"""Job calls of the callers on one entry host, and the routes to queues."""
--- a/packages/cicadafold/src/cicadafold/job_service/routes.py
+++ b/packages/cicadafold/src/cicadafold/job_service/routes.py
@@ -1,4 +1,4 @@
-"""Holds the newest configuration and finds queues by it."""
+"""Routes of the callers' requests to queues, by the newest configuration."""
 
 import asyncio
 
@@ -7,22 +7,30 @@
 
 __all__ = ["Routes"]
 
-# A read waits at the store until the configuration changes.
+# Longest time that a read waits at the store for the configuration to change.
 WAIT_MS = 2000
 RETRY_PAUSE_S = 0.1
 EMPTY_PAUSE_S = 0.1
-ASK_TIMEOUT_S = 0.5
+QUERY_TIMEOUT_S = 0.5
 
 LOG = logs.get_logger("configuration")
 
 
 class Routes:
-    """The configuration in force; its version never goes back.
+    """Holds the configuration in force and finds queues by it.
+
+    The version of the configuration never decreases.
 
     Args:
-        source: Reader of the configuration.
-        scheduler: Client of the scheduler, for when the store cannot be read.
+        source: ``ConfigurationSource`` that reads the store.
+        scheduler: ``SchedulerClient``, used while the store cannot be read.
         on_change: Function called with each new configuration.
+
+    Attributes:
+        current: Configuration in force, or None before the first read.
+        by_authority: Rules of queues by the host name that callers use in
+            the URL, longest path prefix first.
+        failing: Whether the last read from the store failed.
     """
 
     def __init__(self, *, source, scheduler, on_change):
@@ -34,71 +42,93 @@
         self.failing = False
 
     async def run(self):
-        """Follows the configuration for as long as the process lives."""
+        """Follows the configuration for as long as the process runs."""
         while True:
             try:
-                found = await self.source.next(wait_ms=WAIT_MS)
+                configuration = await self.source.next(wait_ms=WAIT_MS)
             except (exception.LogUnavailable, exception.LinkLost) as error:
                 self.record_read_result(error)
                 await self.read_from_scheduler()
                 await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             self.record_read_result(None)
-            if found is not None:
-                self.apply(found)
+            if configuration is not None:
+                self.apply(configuration)
             if self.current is None:
                 await asyncio.sleep(EMPTY_PAUSE_S)
 
     async def read_from_scheduler(self):
-        """Takes the configuration from the scheduler's process."""
+        """Applies the configuration of the scheduler's process, if newer."""
         version = -1 if self.current is None else self.current.version
         try:
-            found = await self.scheduler.configuration(
-                version, timeout_s=ASK_TIMEOUT_S
+            configuration = await self.scheduler.configuration(
+                version, timeout_s=QUERY_TIMEOUT_S
             )
         except (exception.LinkNotOpen, exception.LinkLost) as error:
-            LOG.debug("The scheduler gave no configuration: %s", error)
+            LOG.debug(
+                "Could not read the configuration from the scheduler: %s",
+                error,
+            )
             return
-        if found is not None:
-            self.apply(found)
+        if configuration is not None:
+            self.apply(configuration)
 
     def record_read_result(self, error):
-        """Logs that the configuration was lost or regained."""
+        """Logs when reads from the store start to fail or succeed again.
+
+        Args:
+            error: Error of the last read, or None if it succeeded.
+        """
         if (error is not None) == self.failing:
             return
         self.failing = error is not None
         if self.failing:
-            LOG.warning("The configuration cannot be read: %s", error)
+            LOG.warning(
+                "Cannot read the configuration from the store: %s; asking"
+                " the scheduler instead.",
+                error,
+            )
         else:
-            LOG.info("The configuration is read again.")
+            LOG.info("The configuration is read from the store again.")
 
-    def apply(self, found):
+    def apply(self, configuration):
         """Puts a configuration in force if it is newer."""
-        if self.current is not None and found.version <= self.current.version:
+        if (
+            self.current is not None
+            and configuration.version <= self.current.version
+        ):
             return
-        self.current = found
+        self.current = configuration
         self.by_authority = {}
-        for rule in found.queues.values():
+        for rule in configuration.queues.values():
             name = rule.authority.lower()
             self.by_authority.setdefault(name, []).append(rule)
         for rules in self.by_authority.values():
             rules.sort(key=lambda rule: -len(rule.prefix))
         LOG.info(
-            "A configuration is in force.",
+            "A new configuration is in force.",
             fields={
-                "version": found.version,
-                "queues": len(found.queues),
-                "pools": len(found.pools),
+                "version": configuration.version,
+                "queues": len(configuration.queues),
+                "pools": len(configuration.pools),
             },
         )
-        self.on_change(found)
+        self.on_change(configuration)
 
     def rules(self):
-        """Returns the rules of all queues by name."""
+        """Returns the rules of all queues by name of the queue."""
         return {} if self.current is None else self.current.queues
 
     def find_queue(self, authority, path):
-        """Returns the queue with the longest prefix of a path, or None."""
+        """Returns the rule of the queue that serves a URL.
+
+        Args:
+            authority: Host name of the URL, with or without a port.
+            path: Path of the URL.
+
+        Returns:
+            The rule with the longest path prefix, or None.
+        """
         name = authority.partition(":")[0].lower()
         for rule in self.by_authority.get(name, ()):
             if path.startswith(rule.prefix):
--- a/packages/cicadafold/src/cicadafold/job_service/service.py
+++ b/packages/cicadafold/src/cicadafold/job_service/service.py
@@ -1,4 +1,4 @@
-"""What callers of jobs can do: submit, look, cancel, count."""
+"""Job calls of the callers: submit, query and cancel jobs, count a queue."""
 
 import asyncio
 import collections
@@ -12,11 +12,12 @@
 __all__ = ["JobService"]
 
 MILLISECONDS = 1000.0
-# Jobs accepted here that the scheduler may not have read yet.
+# Accepted jobs that are remembered, as the scheduler may not know them yet.
 REMEMBERED_JOBS = 2000
 RETRY_PAUSE_S = 0.05
-# Longest single wait for the scheduler; the next try may find a new one.
-ASK_TIMEOUT_S = 0.8
+# Longest wait for one answer of the scheduler; the next try may reach the
+# scheduler of a later term.
+QUERY_TIMEOUT_S = 0.8
 RELAY_TIMEOUT_S = 1.2
 RETRY_AFTER_MS = 1000
 
@@ -24,15 +25,20 @@
 
 
 class JobService:
-    """Serves callers of jobs on one entry host.
+    """Handles the callers' job calls on one entry host.
 
     Args:
-        writer: Writer of acceptances and cancellings.
-        scheduler: Client of the scheduler, with ``state`` and ``pending``.
-        isolated: Function that tells whether this host reaches neither
+        writer: ``AcceptWriter`` for journal records of accepted and
+            cancelled jobs.
+        scheduler: ``SchedulerClient`` of this process.
+        isolated: Function that returns whether this process reaches neither
             the store nor the scheduler.
-        reachable: Function that tells whether this host reaches the store.
-        metrics: Where calls are counted.
+        reachable: Function that returns whether this process reaches the
+            store.
+        metrics: Metrics of the process.
+
+    Attributes:
+        accepted: Identifiers of the last jobs accepted here, oldest first.
     """
 
     def __init__(self, *, writer, scheduler, isolated, reachable, metrics):
@@ -44,27 +50,28 @@
         self.accepted = collections.OrderedDict()
 
     async def submit(self, spec, *, deadline_s):
-        """Records a job.
+        """Accepts a job: makes its record durable, notifies the scheduler.
 
         Args:
-            spec: Description of the job.
-            deadline_s: Loop time at which the caller stops waiting.
+            spec: Specification of the job.
+            deadline_s: Loop time in seconds at which the caller stops
+                waiting.
 
         Raises:
             LogUnavailable: The job was not accepted and never will be.
             OutcomeUnknown: The job may have been accepted.
         """
-        begun_ms = clock.monotonic_ms()
+        started_ms = clock.monotonic_ms()
         key, value = records.accept_record(spec)
         await self.record(key, value, deadline_s)
         self.remember_accepted(spec.id)
         await self.scheduler.notify_accepted(spec)
-        took_ms = clock.monotonic_ms() - begun_ms
+        took_ms = clock.monotonic_ms() - started_ms
         self.metrics.record_us(
             "accept", took_ms * MILLISECONDS, queue=spec.queue
         )
         LOG.info(
-            "A job is accepted.",
+            "A job was accepted.",
             fields={
                 "request_id": spec.id,
                 "queue": spec.queue,
@@ -74,7 +81,16 @@
         )
 
     async def record(self, key, value, deadline_s):
-        """Writes a record, through the scheduler's host if need be.
+        """Writes a journal record.
+
+        The record goes through the scheduler's process if this one does not
+        reach the store.
+
+        Args:
+            key: Key of the record.
+            value: Value of the record.
+            deadline_s: Loop time in seconds at which the caller stops
+                waiting.
 
         Raises:
             LogUnavailable: The record is not stored and never will be.
@@ -90,28 +106,35 @@
             )
         except exception.LinkNotOpen as error:
             raise exception.LogUnavailable(
-                message="Neither the store nor the scheduler is reached.",
+                message="Neither the store nor the scheduler is reachable.",
                 remedy="Send the request again.",
                 retry_after_ms=RETRY_AFTER_MS,
             ) from error
         except exception.LinkLost as error:
             raise exception.OutcomeUnknown(
-                message="The scheduler's host did not confirm the record.",
+                message="The scheduler's process did not confirm the record.",
                 remedy="Send the request again with the same ID.",
             ) from error
         self.metrics.count("records_relayed")
 
     def remember_accepted(self, job):
-        """Keeps the identifier of an accepted job for a while."""
+        """Remembers an accepted job until ``REMEMBERED_JOBS`` later ones."""
         self.accepted[job] = True
         if len(self.accepted) > REMEMBERED_JOBS:
             self.accepted.popitem(last=False)
 
     async def state(self, job, *, deadline_s):
-        """Returns the state of a job, None if there is none.
+        """Returns the state of a job, or None if the job is unknown.
+
+        A job accepted here that the scheduler does not know yet is queued.
+
+        Args:
+            job: Identifier of the job.
+            deadline_s: Loop time in seconds at which the caller stops
+                waiting.
 
         Raises:
-            Starting: The scheduler did not answer in time.
+            Starting: The scheduler did not answer before the deadline.
         """
         found = await self.retry_until_answered(
             lambda timeout_s: self.scheduler.state(job, timeout_s=timeout_s),
@@ -124,8 +147,13 @@
     async def pending(self, queue, *, deadline_s):
         """Returns how many jobs of a queue have not started.
 
+        Args:
+            queue: Name of the queue.
+            deadline_s: Loop time in seconds at which the caller stops
+                waiting.
+
         Raises:
-            Starting: The scheduler did not answer in time.
+            Starting: The scheduler did not answer before the deadline.
         """
         return await self.retry_until_answered(
             lambda timeout_s: self.scheduler.pending(
@@ -135,20 +163,32 @@
         )
 
     async def cancel(self, job, *, deadline_s):
-        """Cancels a job.
+        """Cancels a job: makes a cancel record durable, unless it has ended.
+
+        A job counts as known if the scheduler does not answer.
+
+        Args:
+            job: Identifier of the job.
+            deadline_s: Loop time in seconds at which the caller stops
+                waiting.
 
         Returns:
-            Whether there is such a job, as far as known.
+            Whether the job is known.
 
         Raises:
-            LogUnavailable: The cancelling is not recorded.
-            OutcomeUnknown: The cancelling may be recorded.
+            LogUnavailable: The cancellation was not recorded and never will
+                be.
+            OutcomeUnknown: The cancellation may be recorded.
         """
         try:
-            found = await self.scheduler.state(job, timeout_s=ASK_TIMEOUT_S)
+            found = await self.scheduler.state(job, timeout_s=QUERY_TIMEOUT_S)
             known = found is not None or job in self.accepted
         except exception.CicadafoldError as error:
-            LOG.debug("The scheduler did not answer: %s", error)
+            LOG.debug(
+                "The scheduler did not return a job's state: %s; the"
+                " cancellation is recorded without it.",
+                error,
+            )
             known = True
             found = None
         if not known:
@@ -158,26 +198,37 @@
         key, value = records.cancel_record(job)
         await self.record(key, value, deadline_s)
         await self.scheduler.notify_cancelled(job)
-        LOG.info("A cancelling is recorded.", fields={"request_id": job})
+        LOG.info("A cancellation was recorded.", fields={"request_id": job})
         return True
 
-    async def retry_until_answered(self, ask, deadline_s):
-        """Asks the scheduler until it answers or time is up."""
+    async def retry_until_answered(self, query, deadline_s):
+        """Repeats a query until the scheduler answers it.
+
+        Args:
+            query: Coroutine function that sends the query, given the
+                seconds to wait.
+            deadline_s: Loop time in seconds at which the caller stops
+                waiting.
+
+        Raises:
+            Starting: The deadline has passed, or this process reaches
+                neither the store nor the scheduler.
+        """
         loop = asyncio.get_running_loop()
         while True:
             left_s = deadline_s - loop.time()
             try:
-                return await ask(max(0.05, min(ASK_TIMEOUT_S, left_s)))
+                return await query(max(0.05, min(QUERY_TIMEOUT_S, left_s)))
             except (
                 exception.LinkNotOpen,
                 exception.LinkLost,
                 exception.Starting,
             ) as error:
-                late = loop.time() + RETRY_PAUSE_S >= deadline_s
-                if late or self.isolated():
+                expired = loop.time() + RETRY_PAUSE_S >= deadline_s
+                if expired or self.isolated():
                     raise exception.Starting(
                         message="The scheduler does not answer.",
-                        remedy="Ask again.",
+                        remedy="Send the request again.",
                         retry_after_ms=500,
                     ) from error
             await asyncio.sleep(RETRY_PAUSE_S)
--- a/packages/cicadafold/src/cicadafold/peers/__init__.py
+++ b/packages/cicadafold/src/cicadafold/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Links between the processes of the cell."""
+"""Links and messages between the processes of the cell."""
--- a/packages/cicadafold/src/cicadafold/peers/directory.py
+++ b/packages/cicadafold/src/cicadafold/peers/directory.py
@@ -1,7 +1,8 @@
-"""Tells all processes of a new term, also those that cannot read the log.
+"""Addresses of the peers, and the calls to those without an open link.
 
-A process that the store turns away cannot read the claims. The scheduler of
-a new term therefore announces its claim to every address that it knows.
+A process that the store refuses cannot read the claims of terms there. The
+scheduler of a new term therefore announces its claim over HTTP to every
+address that it knows.
 """
 
 import asyncio
@@ -17,36 +18,38 @@
 
 __all__ = ["AddressBroadcaster", "PeerDirectory"]
 
-PATH = "/claim"
+CLAIM_PATH = "/claim"
 TAKE_OVER_PATH = "/take-over"
-TIMEOUT_S = 0.6
+ANNOUNCE_TIMEOUT_S = 0.6
 MAX_TRIES = 3
 RETRY_PAUSE_S = 0.4
-# Peers come within about a second of a new term.
+# Peers open their links within about a second of the start of a term.
 BROADCAST_DELAY_S = 1.0
 HTTP_OK = 200
 HTTP_UNAVAILABLE = 503
 # A claim takes a few round trips to the store.
 TAKE_OVER_TIMEOUT_S = 0.8
-# Strong hosts that are asked before a weak one claims itself.
+# Preferred hosts that are asked, one after another, before the host with a
+# low election priority claims the term itself.
 MAX_ASKED_HOSTS = 3
 
 LOG = logs.get_logger("peer")
 
 
 class PeerDirectory:
-    """Addresses of the processes of the cell, as far as known.
+    """Known addresses of the other processes of the cell.
 
     Args:
-        session: Client session.
-        address: Address of this process.
-        on_claim: Function called with an announced claim.
-        on_take_over: Coroutine function called with a term that should be
-            replaced; tells whether a later one is known then.
+        session: HTTP client session.
+        address: Address of this process, IP number and port.
+        on_claim: Function called with a claim that a peer announces.
+        on_take_over: Coroutine function called with a term that a peer
+            asks to replace. It claims the next term and returns whether a
+            later term is known then.
 
     Attributes:
-        addresses: All addresses but the own one.
-        preferred: Those of hosts that can well carry a scheduler.
+        addresses: Addresses of all other processes.
+        preferred: Those of hosts with a high election priority.
     """
 
     def __init__(self, *, session, address, on_claim, on_take_over):
@@ -58,49 +61,65 @@
         self.preferred = set()
 
     def add_routes(self, router):
-        """Serves what other processes ask of this one."""
-        router.add_post(PATH, self.handle_claim)
+        """Adds the routes for announced claims and take-over requests.
+
+        Args:
+            router: Router of the application for peers.
+        """
+        router.add_post(CLAIM_PATH, self.handle_claim)
         router.add_post(TAKE_OVER_PATH, self.handle_take_over)
 
     def add(self, addresses, preferred=()):
-        """Takes addresses of other processes."""
+        """Adds addresses; that of this process is left out.
+
+        Args:
+            addresses: Addresses of processes.
+            preferred: Those of hosts with a high election priority.
+        """
         self.addresses.update(addresses)
         self.preferred.update(preferred)
         self.addresses.discard(self.address)
         self.preferred.discard(self.address)
 
     async def announce(self, claim):
-        """Tells every known process of this process's claim."""
+        """Announces a claim of this process to every known process."""
         body = msgspec.json.encode(claim)
         await asyncio.gather(
             *(self.announce_to(address, body) for address in self.addresses)
         )
 
     async def announce_to(self, address, body):
-        """Tells one process; one that does not answer is left out."""
-        timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
+        """Announces a claim to one process.
+
+        Removes the address if no try succeeds.
+
+        Args:
+            address: Address of the process.
+            body: Claim as JSON.
+        """
+        timeout = aiohttp.ClientTimeout(total=ANNOUNCE_TIMEOUT_S)
         for _ in range(MAX_TRIES):
             try:
                 async with self.session.post(
-                    f"http://{address}{PATH}", data=body, timeout=timeout
-                ) as answer:
-                    if answer.status == HTTP_OK:
+                    f"http://{address}{CLAIM_PATH}", data=body, timeout=timeout
+                ) as response:
+                    if response.status == HTTP_OK:
                         return
             except (aiohttp.ClientError, OSError, TimeoutError) as error:
-                LOG.debug("A process was not told: %r", error)
+                LOG.debug("Could not announce a claim to a process: %r", error)
             await asyncio.sleep(RETRY_PAUSE_S)
         self.addresses.discard(address)
         self.preferred.discard(address)
 
     async def request_take_over(self, term, *, without):
-        """Asks strong hosts to replace a term.
+        """Asks preferred hosts, one after another, to replace a term.
 
         Args:
             term: Term of a scheduler that does not answer.
-            without: Address of that scheduler.
+            without: Address of that scheduler, which is not asked.
 
         Returns:
-            Whether one of them knows a later term now.
+            Whether one of them has answered that it knows a later term.
         """
         timeout = aiohttp.ClientTimeout(total=TAKE_OVER_TIMEOUT_S)
         body = msgspec.json.encode(messages.TakeOver(term))
@@ -110,53 +129,70 @@
                     f"http://{address}{TAKE_OVER_PATH}",
                     data=body,
                     timeout=timeout,
-                ) as answer:
-                    if answer.status == HTTP_OK:
+                ) as response:
+                    if response.status == HTTP_OK:
                         LOG.info(
-                            "A strong host replaces the scheduler.",
+                            "A preferred host replaces the scheduler.",
                             fields={"term": term, "address": address},
                         )
                         return True
             except (aiohttp.ClientError, OSError, TimeoutError) as error:
-                LOG.info("A strong host does not answer: %r", error)
+                LOG.info(
+                    "A preferred host did not answer a take-over request: %r",
+                    error,
+                )
         return False
 
     async def handle_take_over(self, request):
-        """Claims the next term for a host that is weak."""
+        """Claims the next term for a host with a low election priority.
+
+        Returns:
+            Status 200 if a later term is known now, 503 if not, 400 for a
+            request that cannot be decoded.
+        """
         try:
-            asked = msgspec.json.decode(
+            message = msgspec.json.decode(
                 await request.read(), type=messages.TakeOver
             )
         except msgspec.MsgspecError as error:
-            LOG.warning("A request to take over cannot be read: %s", error)
+            LOG.warning(
+                "Could not decode a take-over request, which is refused: %s",
+                error,
+            )
             return web.Response(status=400)
-        done = await self.on_take_over(asked.term)
-        return web.Response(status=HTTP_OK if done else HTTP_UNAVAILABLE)
+        replaced = await self.on_take_over(message.term)
+        return web.Response(status=HTTP_OK if replaced else HTTP_UNAVAILABLE)
 
     async def handle_claim(self, request):
-        """Takes an announced claim."""
+        """Handles a claim that the scheduler of a new term announces."""
         try:
             claim = msgspec.json.decode(await request.read(), type=terms.Claim)
         except msgspec.MsgspecError as error:
-            LOG.warning("An announcement cannot be read: %s", error)
+            LOG.warning(
+                "Could not decode an announced claim, which is refused: %s",
+                error,
+            )
             return web.Response(status=400)
         self.on_claim(claim)
         return web.Response()
 
 
 class AddressBroadcaster:
-    """Tells all peers the known addresses, once for those that come together.
+    """Sends the known addresses to all peers, once for a group of new peers.
 
-    A message to all for each peer that comes would grow with the square of
-    their number and fill the link of a small host as its term begins.
+    A broadcast for each new peer would cost a number of messages that grows
+    with the square of the number of peers, and saturate the network link of
+    a small host when its term starts.
 
     Args:
         peer_directory: Known addresses.
-        peers: Links of the peers; changed by their owner.
+        peers: Open ``PeerLink`` objects of the peers; the caller adds and
+            removes them.
 
     Attributes:
-        wanted: Whether a peer has come since the addresses were last told.
-        task: Task that tells them, or None.
+        requested: Whether a peer has connected since the last broadcast
+            started.
+        task: Task that broadcasts, or None.
     """
 
     def __init__(self, *, peer_directory, peers):
@@ -166,13 +202,13 @@
         self.task = None
 
     def schedule(self):
-        """Lets the addresses be told soon."""
+        """Schedules a broadcast, which starts after a short delay."""
         self.requested = True
         if self.task is None or self.task.done():
             self.task = asyncio.create_task(self.run())
 
     async def run(self):
-        """Tells the addresses until no peer has come meanwhile."""
+        """Broadcasts, and repeats it if a peer has connected meanwhile."""
         while self.requested:
             await asyncio.sleep(BROADCAST_DELAY_S)
             self.requested = False
@@ -189,5 +225,5 @@
 
 @link.handles(messages.Roster)
 async def handle_roster(node, message, _):
-    """Takes the addresses that the scheduler knows."""
+    """Adds the addresses that the scheduler has sent."""
     node.peer_directory.add(message.addresses, message.strong)
--- a/packages/cicadafold/src/cicadafold/peers/link.py
+++ b/packages/cicadafold/src/cicadafold/peers/link.py
@@ -1,4 +1,4 @@
-"""One end of a link between two processes: calls and their replies."""
+"""One end of a link between two processes, for queries in both directions."""
 
 import asyncio
 import itertools
@@ -18,10 +18,14 @@
 
 
 def handles(kind):
-    """Registers a coroutine function that answers one kind of query.
+    """Returns a decorator that registers the handler of a kind of message.
 
-    The function takes the object that the link was made with, and the
-    query, and returns the reply.
+    The handler is a coroutine function that takes the ``CellNode`` of the
+    link, the message and the link. It returns the reply to a query, or None
+    for a message without a reply.
+
+    Args:
+        kind: Class of the messages.
     """
 
     def register(function):
@@ -32,12 +36,17 @@
 
 
 class PeerLink:
-    """Calls over one WebSocket, in both directions.
+    """Sends queries and messages over one WebSocket and handles incoming ones.
 
     Args:
         socket: Open WebSocket.
-        node: Object that the answering functions are called with.
+        node: ``CellNode`` of this process, for the message handlers.
         member: Name of the process at the other end.
+
+    Attributes:
+        query_numbers: Counter that numbers the queries of this end.
+        pending_replies: Futures of the replies by number of the query.
+        handler_tasks: Tasks of the handlers that are running.
     """
 
     def __init__(self, *, socket, node, member):
@@ -52,12 +61,15 @@
         """Sends a query and waits for its reply.
 
         Args:
-            make: Function from a number to the query.
-            timeout_s: Seconds to wait.
+            make_query: Function that returns the query, given its number.
+            timeout_s: Seconds to wait for the reply.
+
+        Returns:
+            The reply.
 
         Raises:
-            LinkNotOpen: The link is closed.
-            LinkLost: No reply came.
+            LinkNotOpen: The link is closed; nothing was sent.
+            LinkLost: The link failed or no reply came in time.
         """
         number = next(self.query_numbers)
         future = asyncio.get_running_loop().create_future()
@@ -76,6 +88,7 @@
 
         Raises:
             LinkNotOpen: The link is closed.
+            LinkLost: The message could not be sent.
         """
         if self.socket.closed:
             raise exception.LinkNotOpen(
@@ -88,14 +101,17 @@
             raise link_lost(self.member, repr(error)) from error
 
     async def send_if_open(self, message):
-        """Sends a message whose loss does no harm."""
+        """Sends a message that may be lost; a failure is only logged."""
         try:
             await self.send(message)
         except (exception.LinkLost, exception.LinkNotOpen) as error:
-            LOG.debug("A message was not sent: %s", error)
+            LOG.debug("Could not send a message, which is dropped: %s", error)
 
     async def serve(self):
-        """Takes messages until the link closes."""
+        """Receives messages until the link closes.
+
+        Then fails all queries without a reply and cancels the handlers.
+        """
         try:
             async for received in self.socket:
                 if received.type in (
@@ -107,18 +123,21 @@
             for future in self.pending_replies.values():
                 if not future.done():
                     future.set_exception(
-                        link_lost(self.member, "it was closed")
+                        link_lost(self.member, "the WebSocket was closed")
                     )
             for task in self.handler_tasks:
                 task.cancel()
 
     def receive(self, data):
-        """Takes one message: a reply, or a query to answer."""
+        """Receives one message: a reply, or a message with a handler.
+
+        A reply without a waiting query is dropped: it came too late.
+        """
         try:
             message = messages.decode(data)
         except msgspec.MsgspecError as error:
             LOG.warning(
-                "A message cannot be read: %s",
+                "Could not decode a message of a peer, which is dropped: %s",
                 error,
                 fields={"peer": self.member},
             )
@@ -134,15 +153,20 @@
         task.add_done_callback(self.handler_tasks.discard)
 
     async def run_handler(self, handler, message):
-        """Answers one query."""
-        made = await handler(self.node, message, self)
-        if made is None:
+        """Runs the handler of a message and sends its reply, if any."""
+        reply = await handler(self.node, message, self)
+        if reply is None:
             return
-        await self.send_if_open(made)
+        await self.send_if_open(reply)
 
 
 def link_lost(member, reason):
-    """Returns the error of a link that broke."""
+    """Returns the error for a link that failed.
+
+    Args:
+        member: Name of the process at the other end.
+        reason: What failed, for the error message.
+    """
     return exception.LinkLost(
         message=f"The link to {member} was lost: {reason}.",
         remedy="Try again.",
--- a/packages/cicadafold/src/cicadafold/peers/messages.py
+++ b/packages/cicadafold/src/cicadafold/peers/messages.py
@@ -1,4 +1,8 @@
-"""Messages between the processes of the cell."""
+"""Messages between the processes of the cell.
+
+A query and its reply carry the same number, which the sender of the query
+chooses.
+"""
 
 import enum
 
@@ -32,13 +36,13 @@
 
 
 class Hello(msgspec.Struct, tag="hello"):
-    """First message of a link.
+    """First message over a link, from the process that opened it.
 
     Attributes:
-        member: Name of the process that opened the link.
-        term: Newest term it knows.
-        address: Address for links to it.
-        strength: How well its host can carry a scheduler.
+        member: Name of the process.
+        term: Newest term that it knows.
+        address: IP number and port for links to it.
+        strength: Election priority of its host.
     """
 
     member: str
@@ -48,23 +52,31 @@
 
 
 class JobAccepted(msgspec.Struct, tag="accepted"):
-    """Tells the scheduler of a job whose record is durable."""
+    """Notifies the scheduler of an accepted job whose record is durable.
+
+    Attributes:
+        spec: Specification of the job.
+    """
 
     spec: model.JobSpec
 
 
 class JobCancelled(msgspec.Struct, tag="cancelled"):
-    """Tells the scheduler of a cancelling whose record is durable."""
+    """Notifies the scheduler of a cancellation whose record is durable.
+
+    Attributes:
+        job: Identifier of the job.
+    """
 
     job: str
 
 
 class Roster(msgspec.Struct, tag="roster"):
-    """Addresses of the processes that the scheduler knows.
+    """Peer addresses that the scheduler knows, sent to its peers.
 
     Attributes:
-        addresses: All addresses.
-        strong: Those of hosts that can well carry a scheduler.
+        addresses: Addresses of all processes.
+        strong: Those of hosts with a high election priority.
     """
 
     addresses: list[str]
@@ -72,18 +84,19 @@
 
 
 class StateQuery(msgspec.Struct, tag="state"):
-    """Asks for the state of a job."""
+    """Asks the scheduler for the state of a job."""
 
     number: int
     job: str
 
 
 class StateReply(msgspec.Struct, tag="state-is"):
-    """Answers a state query.
+    """Reply to a ``StateQuery``.
 
     Attributes:
-        ready: Whether the scheduler could tell.
-        state: State shown for the job, None if there is no such job.
+        ready: Whether the scheduler has read the journal far enough to
+            answer.
+        state: Value of the job's state, or None if the job is unknown.
     """
 
     number: int
@@ -92,14 +105,20 @@
 
 
 class PendingQuery(msgspec.Struct, tag="pending"):
-    """Asks how many jobs of a queue have not started."""
+    """Asks the scheduler how many jobs of a queue have not started."""
 
     number: int
     queue: str
 
 
 class PendingReply(msgspec.Struct, tag="pending-is"):
-    """Answers a query for pending jobs."""
+    """Reply to a ``PendingQuery``.
+
+    Attributes:
+        ready: Whether the scheduler has read the journal far enough to
+            answer.
+        count: Number of jobs that have not started.
+    """
 
     number: int
     ready: bool
@@ -107,7 +126,15 @@
 
 
 class AdviseQuery(msgspec.Struct, tag="advise"):
-    """Asks a host to call the advice service."""
+    """Asks a process to call the advice service for a step of a job.
+
+    Attributes:
+        job: Identifier of the job.
+        occurrence: Number of the job's occurrence.
+        step: Number of the step.
+        workers: Names of the workers that tickets are wanted for.
+        timeout_s: Seconds after which the scheduler stops waiting.
+    """
 
     number: int
     job: str
@@ -118,7 +145,12 @@
 
 
 class AdviseReply(msgspec.Struct, tag="advised"):
-    """Tickets by worker, or why there are none."""
+    """Reply to an ``AdviseQuery``.
+
+    Attributes:
+        granted: Tickets by name of the worker, or None if the call failed.
+        error: Why the call failed.
+    """
 
     number: int
     granted: dict[str, str] | None = None
@@ -126,18 +158,19 @@
 
 
 class HealthQuery(msgspec.Struct, tag="health"):
-    """Asks the scheduler whether it can do its work."""
+    """Asks a process for the health of its term and of its store access."""
 
     number: int
 
 
 class Health(enum.Enum):
-    """What a process says of its term.
+    """Health of the term that a process serves.
 
     Attributes:
-        NO_TERM: It serves none.
-        UNWELL: Its term does not reach the store, or not all of it.
-        WELL: It gives orders, or is about to.
+        NO_TERM: The process serves no term.
+        DEGRADED: The term cannot read all journal partitions at the store,
+            or its recovery takes too long.
+        HEALTHY: The term sends commands to workers, or is recovering.
     """
 
     NO_TERM = "no term"
@@ -146,11 +179,12 @@
 
 
 class HealthReply(msgspec.Struct, tag="health-is"):
-    """How the term of a process is, and whether it reaches the store.
+    """Reply to a ``HealthQuery``.
 
     Attributes:
-        health: State of its term.
-        store_age_ms: Time since the store last answered it.
+        health: Health of the process's term.
+        store_age_ms: Milliseconds since the store last answered the
+            process.
     """
 
     number: int
@@ -162,19 +196,20 @@
     """Asks a process to claim the next term at once.
 
     Attributes:
-        term: Term that the sender has ended.
+        term: Term that is to be replaced. Its scheduler hands it over, or
+            does not answer the sender.
     """
 
     term: int
 
 
 class RecordQuery(msgspec.Struct, tag="record"):
-    """Asks a process to write a record to the jobs topic.
+    """Asks a process to write a journal record to the jobs topic.
 
     Attributes:
         key: Key of the record.
         value: Value of the record.
-        timeout_s: Seconds after which the caller stops waiting.
+        timeout_s: Seconds after which the sender stops waiting.
     """
 
     number: int
@@ -184,7 +219,13 @@
 
 
 class Outcome(enum.Enum):
-    """What became of a record: stored, not stored, or unknown."""
+    """Outcome of writing a journal record.
+
+    Attributes:
+        STORED: The record is durable.
+        REFUSED: The record is not stored and never will be.
+        UNKNOWN: The record may be stored.
+    """
 
     STORED = "stored"
     REFUSED = "refused"
@@ -192,21 +233,33 @@
 
 
 class RecordReply(msgspec.Struct, tag="record-is"):
-    """What became of a record."""
+    """Reply to a ``RecordQuery``.
+
+    Attributes:
+        outcome: Outcome of writing the record.
+    """
 
     number: int
     outcome: Outcome
 
 
 class ConfigurationQuery(msgspec.Struct, tag="configuration"):
-    """Asks for the configuration if it is newer than a version."""
+    """Asks for the configuration if it is newer than a version.
+
+    Attributes:
+        version: Version that the sender has, -1 for none.
+    """
 
     number: int
     version: int
 
 
 class ConfigurationReply(msgspec.Struct, tag="configuration-is"):
-    """A newer configuration, or none."""
+    """Reply to a ``ConfigurationQuery``.
+
+    Attributes:
+        configuration: The configuration, or None if it is not newer.
+    """
 
     number: int
     configuration: model.Configuration | None = None
--- a/packages/cicadafold/src/cicadafold/peers/peer_client.py
+++ b/packages/cicadafold/src/cicadafold/peers/peer_client.py
@@ -1,4 +1,4 @@
-"""Calls of the scheduler to the processes that are linked to it."""
+"""Client for the calls of the scheduler to a peer that is linked to it."""
 
 from cicadafold import exception
 from cicadafold.peers import messages
@@ -10,22 +10,32 @@
 
 
 class PeerClient:
-    """Calls to one process.
+    """Calls one peer over its link.
 
     Args:
-        peer: Open link to the process.
+        peer: ``PeerLink`` that the peer has opened.
     """
 
     def __init__(self, *, peer):
         self.peer = peer
 
     async def advise(self, job, occurrence, step, workers, *, timeout_s):
-        """Lets the process call the advice service.
+        """Has the peer call the advice service for a step of a job.
+
+        Args:
+            job: Identifier of the job.
+            occurrence: Number of the job's occurrence.
+            step: Number of the step.
+            workers: Names of the workers that tickets are wanted for.
+            timeout_s: Seconds that the peer and this process wait.
+
+        Returns:
+            Tickets by name of the worker.
 
         Raises:
-            TargetUnreachable: There was no usable answer.
+            TargetUnreachable: The peer got no usable answer.
             LinkNotOpen: The link is closed.
-            LinkLost: No reply came.
+            LinkLost: The peer did not answer in time.
         """
         reply = await self.peer.call(
             lambda number: messages.AdviseQuery(
@@ -38,7 +48,11 @@
         return reply.granted
 
     async def store_age_ms(self):
-        """Returns how long ago the store answered the process."""
+        """Returns the milliseconds since the store last answered the peer.
+
+        A peer that does not answer counts as one that the store has not
+        answered for a very long time.
+        """
         try:
             reply = await self.peer.call(
                 messages.HealthQuery, timeout_s=HEALTH_TIMEOUT_S
@@ -48,6 +62,7 @@
         return reply.store_age_ms
 
     async def take_over(self, term):
-        """Asks the process to claim the next term."""
-        # If it is lost, the group names another process in time.
+        """Asks the peer to claim the term that follows a given one."""
+        # If the message is lost, the group at the store chooses a process
+        # that claims the next term.
         await self.peer.send_if_open(messages.TakeOver(term))
--- a/packages/cicadafold/src/cicadafold/peers/scheduler_client.py
+++ b/packages/cicadafold/src/cicadafold/peers/scheduler_client.py
@@ -1,4 +1,8 @@
-"""Asks the scheduler, wherever it is, and answers its questions."""
+"""Client of the scheduler, and the handlers of messages between processes.
+
+The handlers run in the process that receives a message. They get the
+``CellNode`` of that process, the message and the link that it came over.
+"""
 
 import asyncio
 
@@ -13,11 +17,13 @@
 
 
 class SchedulerClient:
-    """Asks the scheduler of this process, or the one behind the link.
+    """Queries the scheduler, in this process or in another.
 
     Args:
-        local: Function that returns the term of this process, or None.
-        remote: Link to the scheduler of another process.
+        local: Function that returns the term that this process serves, or
+            None.
+        remote: ``SchedulerLink`` to the process that serves the newest
+            term.
     """
 
     def __init__(self, *, local, remote):
@@ -25,12 +31,16 @@
         self.remote = remote
 
     async def state(self, job, *, timeout_s):
-        """Returns the state of a job, None if there is none.
+        """Returns the state of a job, or None if the job is unknown.
+
+        Args:
+            job: Identifier of the job.
+            timeout_s: Seconds to wait for a scheduler in another process.
 
         Raises:
-            Starting: The scheduler cannot tell yet.
-            LinkNotOpen: There is no scheduler now.
-            LinkLost: The scheduler did not answer.
+            Starting: The scheduler has not read the journal far enough.
+            LinkNotOpen: There is no link to a scheduler.
+            LinkLost: The scheduler did not answer in time.
         """
         term = self.local()
         if term is not None:
@@ -44,10 +54,14 @@
         return None if reply.state is None else model.JobState(reply.state)
 
     async def health(self, *, timeout_s):
-        """Returns what the scheduler says of its term.
+        """Returns the health of the scheduler's term.
+
+        Args:
+            timeout_s: Seconds to wait for a scheduler in another process.
 
         Returns:
-            Its health, or None if it does not answer.
+            The ``messages.Health``, or None if there is no link to the
+            scheduler or it does not answer in time.
         """
         term = self.local()
         if term is not None:
@@ -61,13 +75,20 @@
         return reply.health
 
     async def record(self, key, value, *, timeout_s):
-        """Writes a record through the scheduler's process.
+        """Writes a journal record through the scheduler's process.
+
+        Args:
+            key: Key of the record.
+            value: Value of the record.
+            timeout_s: Seconds to wait for the reply.
 
         Raises:
             LogUnavailable: The record is not stored and never will be.
-            LinkNotOpen: There is no scheduler now; nothing was sent.
-            LinkLost: The record may be stored.
-            OutcomeUnknown: The record may be stored.
+            LinkNotOpen: There is no link to a scheduler; nothing was sent.
+            LinkLost: The link failed or the reply did not come in time;
+                the record may be stored.
+            OutcomeUnknown: The store did not confirm the record to the
+                scheduler's process; the record may be stored.
         """
         reply = await self.remote.call(
             lambda number: messages.RecordQuery(number, key, value, timeout_s),
@@ -77,17 +98,21 @@
             return
         if reply.outcome is messages.Outcome.REFUSED:
             raise exception.LogUnavailable(
-                message="The scheduler's process stored no record.",
+                message="The scheduler's process could not store the record.",
                 remedy="Send the request again later.",
                 retry_after_ms=RETRY_AFTER_MS,
             )
         raise exception.OutcomeUnknown(
-            message="The record was not confirmed.",
+            message="The store did not confirm the record.",
             remedy="Send the request again with the same ID.",
         )
 
     async def notify_accepted(self, spec):
-        """Tells the scheduler of a durable job; the journal tells it too."""
+        """Notifies the scheduler of an accepted job with a durable record.
+
+        The message may be lost: the scheduler also finds the job when it
+        reads the journal, only later.
+        """
         term = self.local()
         if term is not None:
             term.on_accepted(spec)
@@ -95,7 +120,7 @@
             await self.remote.link.send_if_open(messages.JobAccepted(spec))
 
     async def notify_cancelled(self, job):
-        """Tells the scheduler of a durable cancelling."""
+        """Notifies the scheduler of a cancellation with a durable record."""
         term = self.local()
         if term is not None:
             term.on_cancelled(job)
@@ -105,9 +130,13 @@
     async def configuration(self, version, *, timeout_s):
         """Returns the scheduler's configuration if it is newer, or None.
 
+        Args:
+            version: Version of the configuration that this process has.
+            timeout_s: Seconds to wait for the reply.
+
         Raises:
-            LinkNotOpen: There is no scheduler now.
-            LinkLost: The scheduler did not answer.
+            LinkNotOpen: There is no link to a scheduler.
+            LinkLost: The scheduler did not answer in time.
         """
         reply = await self.remote.call(
             lambda number: messages.ConfigurationQuery(number, version),
@@ -118,10 +147,14 @@
     async def pending(self, queue, *, timeout_s):
         """Returns how many jobs of a queue have not started.
 
+        Args:
+            queue: Name of the queue.
+            timeout_s: Seconds to wait for a scheduler in another process.
+
         Raises:
-            Starting: The scheduler cannot tell yet.
-            LinkNotOpen: There is no scheduler now.
-            LinkLost: The scheduler did not answer.
+            Starting: The scheduler has not read the journal far enough.
+            LinkNotOpen: There is no link to a scheduler.
+            LinkLost: The scheduler did not answer in time.
         """
         term = self.local()
         if term is not None:
@@ -137,18 +170,18 @@
 
 @link.handles(messages.StateQuery)
 async def answer_state(node, query, _):
-    """Tells a peer the state of a job."""
+    """Returns the reply to a peer's query for the state of a job."""
     try:
         state = node.serving_term().state_of(query.job)
     except exception.Starting:
         return messages.StateReply(query.number, False)
-    shown = None if state is None else state.value
-    return messages.StateReply(query.number, True, shown)
+    value = None if state is None else state.value
+    return messages.StateReply(query.number, True, value)
 
 
 @link.handles(messages.PendingQuery)
 async def answer_pending(node, query, _):
-    """Tells a peer how many jobs of a queue have not started."""
+    """Returns the reply to a peer's query for a queue's pending jobs."""
     try:
         count = node.serving_term().pending(query.queue)
     except exception.Starting:
@@ -158,7 +191,7 @@
 
 @link.handles(messages.HealthQuery)
 async def answer_health(node, query, _):
-    """Tells a peer how the term of this process is."""
+    """Returns the health of this process's term and of its store access."""
     health = messages.Health.NO_TERM
     if node.term is not None:
         health = node.term.health()
@@ -167,27 +200,27 @@
 
 @link.handles(messages.JobAccepted)
 async def handle_accepted(node, message, _):
-    """Takes a job that a peer has accepted."""
+    """Passes a job that a peer has accepted to this process's term."""
     if node.term is not None:
         node.term.on_accepted(message.spec)
 
 
 @link.handles(messages.JobCancelled)
 async def handle_cancelled(node, message, _):
-    """Takes a cancelling that a peer has recorded."""
+    """Passes a cancellation that a peer has recorded to the term."""
     if node.term is not None:
         node.term.on_cancelled(message.job)
 
 
 @link.handles(messages.TakeOver)
 async def handle_take_over(node, message, _):
-    """Claims the next term when the last one was given up."""
+    """Claims the next term for a scheduler that has handed over its own."""
     await node.campaign.take_over(message.term)
 
 
 @link.handles(messages.RecordQuery)
 async def answer_record(node, query, _):
-    """Writes a record for a process that does not reach the store."""
+    """Writes a journal record for a peer that does not reach the store."""
     deadline_s = asyncio.get_running_loop().time() + query.timeout_s
     try:
         await node.writer.write(query.key, query.value, deadline_s=deadline_s)
@@ -202,7 +235,10 @@
 
 @link.handles(messages.ConfigurationQuery)
 async def answer_configuration(node, query, _):
-    """Gives a newer configuration to a peer that cannot read it."""
+    """Returns this process's configuration if the peer's one is older.
+
+    A peer asks for it while it cannot read the configuration at the store.
+    """
     current = node.routes.current
     if current is None or current.version <= query.version:
         return messages.ConfigurationReply(query.number)
@@ -211,7 +247,7 @@
 
 @link.handles(messages.AdviseQuery)
 async def answer_advise(node, query, _):
-    """Calls the advice service for the scheduler."""
+    """Calls the advice service on behalf of the scheduler."""
     try:
         granted = await node.advice.advise(
             query.job,
@@ -227,15 +263,15 @@
 
 @link.handles(messages.Hello)
 async def handle_hello(node, hello, peer):
-    """Takes the name and the newest term of the process that calls."""
+    """Registers the process that has opened the link."""
     peer.member = hello.member
     node.on_hello(hello, peer)
 
 
 def starting_error():
-    """Returns the error of a scheduler that cannot tell yet."""
+    """Returns the error for a scheduler that is still reading the journal."""
     return exception.Starting(
         message="The scheduler has not read the journal to its end.",
-        remedy="Ask again.",
+        remedy="Send the request again.",
         retry_after_ms=300,
     )
--- a/packages/cicadafold/src/cicadafold/peers/scheduler_link.py
+++ b/packages/cicadafold/src/cicadafold/peers/scheduler_link.py
@@ -1,4 +1,4 @@
-"""Keeps a link from this process to the scheduler of the newest term."""
+"""Link from this process to the scheduler of the newest term."""
 
 import asyncio
 
@@ -12,7 +12,8 @@
 __all__ = ["PATH", "SchedulerLink"]
 
 PATH = "/peer"
-# A peer that does not answer a ping for half of this time is given up.
+# Period of WebSocket pings. The link is closed if no answer comes within half
+# of it.
 HEARTBEAT_S = 1.0
 CONNECT_TIMEOUT_S = 0.5
 RETRY_PAUSE_S = 0.1
@@ -22,19 +23,22 @@
 
 
 class SchedulerLink:
-    """Opens the link again whenever it is lost or a new term begins.
+    """Keeps a link open; reopens it when it is lost or a new term starts.
 
     Args:
-        session: Client session.
+        session: HTTP client session.
         member: Name of this process.
-        address: Address for links to this process.
-        election_priority: How well this host can carry a scheduler.
-        node: Object that answers the scheduler's queries.
+        address: Address for links to this process, IP number and port.
+        election_priority: How well this host can carry the scheduler;
+            larger is better.
+        node: ``CellNode`` of this process, for the message handlers.
 
     Attributes:
-        link: Open link, or None.
+        claim: Claim of the newest known term, or None.
+        link: Open ``PeerLink``, or None.
         refused: Whether the scheduler's host refused the last connection,
-            which means that its process is gone.
+            which means that the scheduler's process is gone.
+        changed: Event set when the claim changes.
     """
 
     def __init__(self, *, session, member, address, election_priority, node):
@@ -49,13 +53,17 @@
         self.changed = asyncio.Event()
 
     def follow(self, claim):
-        """Takes the newest claim."""
+        """Switches to the scheduler of a newer claim."""
         self.claim = claim
         self.refused = False
         self.changed.set()
 
     async def run(self):
-        """Keeps the link for as long as the process lives."""
+        """Keeps the link open for as long as the process runs.
+
+        There is no link while no claim is known, or while this process is
+        the scheduler itself.
+        """
         while True:
             claim = self.claim
             self.changed.clear()
@@ -74,7 +82,11 @@
                 await asyncio.sleep(RETRY_PAUSE_S)
 
     async def serve(self, claim):
-        """Opens the link and takes messages until it closes."""
+        """Opens the link and handles messages until it closes.
+
+        Args:
+            claim: Claim of the scheduler.
+        """
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 socket = await self.session.ws_connect(
@@ -83,7 +95,7 @@
                     max_msg_size=MAX_MESSAGE_BYTES,
                 )
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            LOG.debug("The scheduler was not reached: %r", error)
+            LOG.debug("Could not connect to the scheduler: %r", error)
             cause = getattr(error, "os_error", error)
             self.refused = isinstance(cause, ConnectionRefusedError)
             return
@@ -102,32 +114,39 @@
             )
             self.link = link
             LOG.info(
-                "The scheduler is reached.",
+                "The link to the scheduler is open.",
                 fields={"scheduler": claim.member, "term": claim.term},
             )
             await link.serve()
         except exception.CicadafoldError as error:
-            LOG.debug("The link failed: %s", error)
+            LOG.debug("The link to the scheduler failed: %s", error)
         finally:
             if self.link is link:
                 LOG.warning(
-                    "The link to the scheduler is lost.",
+                    "The link to the scheduler was closed.",
                     fields={"scheduler": claim.member},
                 )
             self.link = None
             await socket.close()
 
     async def call(self, make_query, *, timeout_s):
-        """Calls the scheduler.
+        """Sends a query to the scheduler and waits for its reply.
+
+        Args:
+            make_query: Function that returns the query, given its number.
+            timeout_s: Seconds to wait for the reply.
+
+        Returns:
+            The reply.
 
         Raises:
-            LinkNotOpen: There is no link now.
-            LinkLost: No reply came.
+            LinkNotOpen: There is no open link; nothing was sent.
+            LinkLost: The link failed or no reply came in time.
         """
         link = self.link
         if link is None:
             raise exception.LinkNotOpen(
-                message="There is no link to the scheduler.",
+                message="There is no open link to the scheduler.",
                 remedy="Try again.",
             )
         return await link.call(make_query, timeout_s=timeout_s)
--- a/packages/cicadafold/src/cicadafold/peers/tests/test_directory.py
+++ b/packages/cicadafold/src/cicadafold/peers/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of how processes learn each other's addresses."""
+"""Tests of the peer directory and its broadcasts of addresses."""
 
 import asyncio
 import types
@@ -9,18 +9,18 @@
 
 
 class Peer:
-    """A peer that keeps what it is sent."""
+    """A link to a peer that records the messages sent over it."""
 
     def __init__(self):
-        self.taken = []
+        self.sent = []
 
     async def send_if_open(self, message):
-        """Keeps a message."""
-        self.taken.append(message)
+        """Records a message."""
+        self.sent.append(message)
 
 
-def make_roster(session=None, on_take_over=None):
-    """Returns the roster of a process at a:1."""
+def make_directory(session=None, on_take_over=None):
+    """Returns the directory of a process at a:1."""
     return directory.PeerDirectory(
         session=session,
         address="a:1",
@@ -29,38 +29,38 @@
     )
 
 
-def test_peers_that_come_together_are_told_once(monkeypatch):
-    """The messages of a new term grow with the peers, not their square."""
+def test_peers_that_connect_together_get_one_broadcast(monkeypatch):
+    """Messages of a new term grow with the peers, not with their square."""
     monkeypatch.setattr(directory, "BROADCAST_DELAY_S", 0.02)
 
     async def scenario():
-        known = make_roster()
+        peer_directory = make_directory()
         peers = {}
         broadcaster = directory.AddressBroadcaster(
-            peer_directory=known, peers=peers
+            peer_directory=peer_directory, peers=peers
         )
         for number in range(40):
             peers[Peer()] = number
-            known.add([f"b:{number}"])
+            peer_directory.add([f"b:{number}"])
             broadcaster.schedule()
         await broadcaster.task
         return peers, broadcaster
 
     peers, broadcaster = asyncio.run(scenario())
-    assert [len(peer.taken) for peer in peers] == [1] * 40
-    assert len(next(iter(peers)).taken[0].addresses) == 41
+    assert [len(peer.sent) for peer in peers] == [1] * 40
+    assert len(next(iter(peers)).sent[0].addresses) == 41
     assert not broadcaster.requested
 
 
-def test_peer_that_comes_while_others_are_told_is_told_next(monkeypatch):
-    """No peer is left without the addresses."""
+def test_peer_that_connects_during_a_broadcast_gets_the_next_one(monkeypatch):
+    """A peer that connects while a broadcast runs gets the addresses too."""
     monkeypatch.setattr(directory, "BROADCAST_DELAY_S", 0.0)
 
     async def scenario():
-        known = make_roster()
+        peer_directory = make_directory()
         peers = {}
         broadcaster = directory.AddressBroadcaster(
-            peer_directory=known, peers=peers
+            peer_directory=peer_directory, peers=peers
         )
         late = Peer()
 
@@ -77,24 +77,24 @@
         await broadcaster.task
         return late
 
-    assert len(asyncio.run(scenario()).taken) == 1
+    assert len(asyncio.run(scenario()).sent) == 1
 
 
 @pytest.mark.parametrize(
     ("known", "asked"), [(True, ["b:1"]), (False, ["b:1", "c:1"])]
 )
-def test_strong_hosts_are_asked_to_replace_a_scheduler(known, asked):
-    """One that knows a later term then has done it; the old one is not."""
+def test_preferred_hosts_are_asked_to_replace_a_scheduler(known, asked):
+    """Hosts are asked until one knows a later term; the old one never is."""
     calls = []
 
     async def on_take_over(term):
         assert term == 3
         return known
 
-    other = make_roster(on_take_over=on_take_over)
+    other = make_directory(on_take_over=on_take_over)
 
     class Call:
-        """A call that the other process answers."""
+        """An HTTP call that the other process handles."""
 
         def __init__(self, data):
             self.data = data
@@ -113,9 +113,11 @@
         return Call(data)
 
     async def scenario():
-        made = make_roster(session=types.SimpleNamespace(post=post))
-        made.add(["w:1"], ["a:1", "b:1", "c:1", "old:1"])
-        return await made.request_take_over(3, without="old:1")
+        peer_directory = make_directory(
+            session=types.SimpleNamespace(post=post)
+        )
+        peer_directory.add(["w:1"], ["a:1", "b:1", "c:1", "old:1"])
+        return await peer_directory.request_take_over(3, without="old:1")
 
     assert asyncio.run(scenario()) is known
     assert calls == asked
--- a/packages/cicadafold/src/cicadafold/settings/cell.py
+++ b/packages/cicadafold/src/cicadafold/settings/cell.py
@@ -1,11 +1,11 @@
-"""Settings of a process of the cell, already checked."""
+"""Checked settings of a process of the cell."""
 
 import msgspec
 
 __all__ = ["CellSettings"]
 
-# A scheduler of some hundred workers sends and reads a few megabits a
-# second, and more while it recovers.
+# Bandwidth that is ample for the scheduler: with some hundred workers it
+# sends and reads a few megabits a second, and more while it recovers.
 AMPLE_LINK_MBPS = 50.0
 
 
@@ -14,20 +14,24 @@
 
     Attributes:
         member: Name of the host.
-        domain: Failure domain.
-        region: Region.
-        caller_address: Address for callers, IP number and port.
+        domain: Failure domain of the host.
+        region: Region of the host.
+        caller_address: Address for callers, IP number and port, as below.
         ready_address: Address for readiness checks.
         peer_address: Address for links of the other processes.
-        metrics_address: Address of the metrics.
+        metrics_address: Address that serves the metrics.
         store_address: Address of the platform's store.
         advice_address: Address of the advice service, or empty.
-        longest_lease_ms: Longest lease that a worker grants.
+        longest_lease_ms: Longest lease in milliseconds that a worker
+            grants.
         status_s: Seconds for which the state of an ended job is kept.
-        member_ttl_ms: Time after which the store drops a silent member.
+        member_ttl_ms: Milliseconds after which the store removes a process
+            that does not renew its membership.
         grace_s: Seconds between the request to stop and the kill.
-        cores: Cores of the host, with its share of them.
-        link_mbps: Megabits a second of the host's link.
+        cores: CPU cores of the host, times the share of them that the process
+            may use.
+        link_mbps: Bandwidth of the host's network link in megabits a
+            second.
     """
 
     member: str
@@ -48,5 +52,9 @@
 
     @property
     def election_priority(self):
-        """How well the host can carry a scheduler; larger is better."""
+        """How well the host can carry the scheduler; larger is better.
+
+        It is the number of cores, lowered in proportion if the network link
+        is narrower than ``AMPLE_LINK_MBPS``.
+        """
         return self.cores * min(1.0, self.link_mbps / AMPLE_LINK_MBPS)
