--- a/packages/cicadafold/src/cicadafold/peers/scheduler_client.py
+++ b/packages/cicadafold/src/cicadafold/peers/scheduler_client.py
@@ -44,7 +44,7 @@
         """
         term = self.local()
         if term is not None:
-            return term.state_of(job)
+            return term.job_state(job)
         reply = await self.remote.call(
             lambda number: messages.StateQuery(number, job),
             timeout_s=timeout_s,
@@ -115,7 +115,7 @@
         """
         term = self.local()
         if term is not None:
-            term.on_accepted(spec)
+            term.on_job_accepted(spec)
         elif self.remote.link is not None:
             await self.remote.link.send_if_open(messages.JobAccepted(spec))
 
@@ -123,7 +123,7 @@
         """Notifies the scheduler of a cancellation with a durable record."""
         term = self.local()
         if term is not None:
-            term.on_cancelled(job)
+            term.on_job_cancelled(job)
         elif self.remote.link is not None:
             await self.remote.link.send_if_open(messages.JobCancelled(job))
 
@@ -172,7 +172,7 @@
 async def answer_state(node, query, _):
     """Returns the reply to a peer's query for the state of a job."""
     try:
-        state = node.serving_term().state_of(query.job)
+        state = node.serving_term().job_state(query.job)
     except exception.Starting:
         return messages.StateReply(query.number, False)
     value = None if state is None else state.value
@@ -202,14 +202,14 @@
 async def handle_accepted(node, message, _):
     """Passes a job that a peer has accepted to this process's term."""
     if node.term is not None:
-        node.term.on_accepted(message.spec)
+        node.term.on_job_accepted(message.spec)
 
 
 @link.handles(messages.JobCancelled)
 async def handle_cancelled(node, message, _):
     """Passes a cancellation that a peer has recorded to the term."""
     if node.term is not None:
-        node.term.on_cancelled(message.job)
+        node.term.on_job_cancelled(message.job)
 
 
 @link.handles(messages.TakeOver)
