--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -9,11 +9,11 @@
 from cicadafold.daemon import supervision
 from cicadafold.dispatch import advising
 from cicadafold.dispatch import term as term_module
-from cicadafold.election import campaign
+from cicadafold.election import candidate
 from cicadafold.election import terms
 from cicadafold.job_service import routes
 from cicadafold.job_service import service
-from cicadafold.journal import accepting
+from cicadafold.journal import accept_writer
 from cicadafold.peers import directory
 from cicadafold.peers import link
 from cicadafold.peers import peer_client
@@ -90,25 +90,25 @@
         self.peer_directory = directory.PeerDirectory(
             session=self.peer_session,
             address=settings.peer_address,
-            on_claim=self.claims.follow,
+            on_claim=self.claims.apply_claim,
             on_take_over=lambda term: self.campaign.take_over(term),
         )
         self.address_broadcaster = directory.AddressBroadcaster(
             peer_directory=self.peer_directory, peers=self.peers
         )
-        self.campaign = campaign.Campaign(
+        self.campaign = candidate.Candidate(
             store=self.store,
             claims=self.claims,
             member=self.member,
             address=settings.peer_address,
             ttl_ms=settings.member_ttl_ms,
-            serving=lambda: self.term is not None,
+            is_serving=lambda: self.term is not None,
             health=self.scheduler_client.health,
             scheduler_gone=lambda: self.scheduler_link.refused,
-            ask_strong=self.peer_directory.request_take_over,
-            strength=settings.election_priority,
+            delegate_claim=self.peer_directory.request_take_over,
+            election_priority=settings.election_priority,
         )
-        self.writer = accepting.AcceptWriter(
+        self.writer = accept_writer.AcceptWriter(
             store=self.store,
             first_partition=sum(settings.member.encode()),
             metrics=self.metrics,
@@ -228,7 +228,7 @@
         """Takes a peer that has opened a link."""
         if self.term is not None and hello.term > self.term.number:
             self.term.step_down(f"a peer knows term {hello.term}")
-        preferred = hello.strength >= campaign.STRONG
+        preferred = hello.strength >= candidate.FULL_PRIORITY
         self.peer_directory.add(
             [hello.address], [hello.address] if preferred else ()
         )
--- a/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
+++ b/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cicadafold import clock
-from cicadafold.election import campaign
+from cicadafold.election import candidate
 from cicadafold.election import terms
 from cicadafold import exception
 from cicadafold.peers import messages
@@ -150,19 +150,19 @@
         async def ask(*, timeout_s):
             return health
 
-        made = campaign.Campaign(
+        made = candidate.Candidate(
             store=types.SimpleNamespace(failed_ms=-1e12),
             claims=tail,
             member="me",
             address="",
             ttl_ms=1000,
-            serving=lambda: serving,
+            is_serving=lambda: serving,
             health=ask,
             scheduler_gone=lambda: False,
-            ask_strong=None,
-            strength=1.0,
+            delegate_claim=None,
+            election_priority=1.0,
         )
-        assert await made.served() is served
+        assert await made.scheduler_serves() is served
 
     asyncio.run(scenario())
 
@@ -179,27 +179,27 @@
         tail = terms.ClaimsTail(store=None, on_claim=None)
         tail.newest = terms.Claim(member="other", address="a:1", term=3)
 
-        async def ask_strong(term, *, without):
+        async def delegate_claim(term, *, without):
             asked.append((term, without))
             return strong_claims
 
         async def claim(*, after):
             made.append(after)
 
-        found = campaign.Campaign(
+        found = candidate.Candidate(
             store=None,
             claims=tail,
             member="me",
             address="",
             ttl_ms=1000,
-            serving=None,
+            is_serving=None,
             health=None,
             scheduler_gone=None,
-            ask_strong=ask_strong,
-            strength=strength,
+            delegate_claim=delegate_claim,
+            election_priority=strength,
         )
         found.claim = claim
-        await found.replace()
+        await found.claim_or_delegate()
 
     asyncio.run(scenario())
     assert made == [3] * claims
