--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/cell.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/cell.py
@@ -52,14 +52,14 @@
                 self.network, self.address
             ),
         )
-        calls = job_server.CallerCalls(
-            door=node.door,
+        calls = job_server.JobRequestHandler(
+            service=node.job_service,
             routes=node.routes,
             closing=lambda: not node.ready(),
             metrics=node.metrics,
         )
         peers = web.Application()
-        node.roster.add_routes(peers.router)
+        node.peer_directory.add_routes(peers.router)
         listen = self.network.listen
         app = job_server.make_caller_app(calls)
         listen(settings.caller_address, app, self.host)
--- /dev/null
+++ b/packages/cicadafold/src/cicadafold/dispatch/inherited_runs.py
@@ -0,0 +1,169 @@
+"""Run attempts that earlier terms may have left on the workers.
+
+Start commands are not recorded in the journal. A new term learns from the
+workers themselves what they run. A worker that does not answer may still run
+tasks until its leases have lapsed. The record of workers that the last term
+left in the journal narrows this down: it names the workers and, for each
+worker that was already silent or draining, the tasks that it may run.
+"""
+
+from cicadafold import clock
+from cicadafold.dispatch import runs
+from cicadafold.journal import records
+from cicadafold.telemetry import logs
+
+__all__ = ["InheritedRuns"]
+
+# After an outage of the store it takes this long until all workers are
+# listed in the registry again.
+REGISTRY_RECOVERY_MS = 2300.0
+# Covers a few renewals. A worker that is recorded as silent gets no new tasks
+# until its return has been recorded too, so one lost answer must not count.
+MIN_SILENCE_MS = 600.0
+
+LOG = logs.get_logger("inherit")
+
+
+class InheritedRuns:
+    """Tracks which inherited tasks may still run on some worker.
+
+    Args:
+        workers: Workers by name.
+        store: Client of the store.
+        term_started_ms: Monotonic time of the term's start, in milliseconds.
+        lease_ms: Length of the leases that schedulers request, in
+            milliseconds.
+
+    Attributes:
+        leases_lapsed_ms: Monotonic time, in milliseconds, by which all
+            leases of earlier terms have lapsed.
+        has_record: Whether the last term recorded its workers.
+        open_names: Names of the workers that may be given tasks according to
+            that record.
+        possible_runs: By name of a worker that has not answered in this
+            term, the tasks that it may run according to that record.
+        known_pools: Pools for which ``all_runs_known`` has become true.
+    """
+
+    def __init__(self, *, workers, store, term_started_ms, lease_ms):
+        self.workers = workers
+        self.store = store
+        self.leases_lapsed_ms = (
+            term_started_ms + lease_ms * runs.SLOW_CLOCK + runs.LAPSE_MARGIN_MS
+        )
+        self.term_started_ms = term_started_ms
+        self.has_record = False
+        self.open_names = set()
+        self.possible_runs = {}
+        self.known_pools = set()
+
+    def load(self, known, job_table):
+        """Loads the record of workers that the last term left.
+
+        Tasks that may still run on a worker are not started elsewhere until
+        the worker answers or its leases have lapsed.
+
+        Args:
+            known: Record of the workers, or None if there is none.
+            job_table: Jobs, to look up the recorded tasks.
+        """
+        self.has_record = known is not None
+        for worker in known.workers if known else ():
+            if worker.tasks is None:
+                self.open_names.add(worker.report.id)
+                continue
+            tasks = list(filter(None, map(job_table.find, worker.tasks)))
+            self.possible_runs[worker.report.id] = tasks
+            for task in tasks:
+                task.not_before_ms = self.leases_lapsed_ms
+
+    def worker_records(self):
+        """Returns the records of all workers, to be read by the next term."""
+        return [
+            records.KnownWorker(worker.report, self.possible_tasks(worker))
+            for worker in self.workers.values()
+        ]
+
+    def possible_tasks(self, worker):
+        """Returns the tasks that a worker may run, if it gets no new ones.
+
+        Returns:
+            Names of the tasks, some of which may have ended; None if the
+            worker may be given more tasks, or if its tasks are not known.
+        """
+        answers = worker.silent_since_ms is None
+        if not worker.report.draining and (
+            answers or not (worker.closed or self.is_long_silent(worker))
+        ):
+            return None
+        if worker.fenced:
+            return [run.name for run in worker.runs.values()]
+        # The worker has not answered in this term, so the record of the last
+        # term still holds.
+        possible_runs = self.possible_runs.get(worker.report.id)
+        if possible_runs is None:
+            return None
+        return [task.name for task in possible_runs]
+
+    def is_long_silent(self, worker):
+        """Whether a worker has been silent for longer than one lost answer.
+
+        Args:
+            worker: State of the worker.
+        """
+        if worker.silent_since_ms is None:
+            return False
+        silent_ms = clock.monotonic_ms() - worker.silent_since_ms
+        return silent_ms >= MIN_SILENCE_MS
+
+    def on_worker_answered(self, name):
+        """Lets the tasks that a worker was recorded with be started again.
+
+        The inventory of the worker now tells which of them it still runs.
+
+        Args:
+            name: Name of the worker.
+        """
+        for task in self.possible_runs.pop(name, ()):
+            task.not_before_ms = 0.0
+
+    def all_runs_known(self, pool):
+        """Whether all tasks that may run on workers of a pool are known."""
+        if pool in self.known_pools:
+            return True
+        now_ms = clock.monotonic_ms()
+        if now_ms < self.leases_lapsed_ms and self.has_unknown_runs(
+            pool, now_ms
+        ):
+            return False
+        self.known_pools.add(pool)
+        LOG.info(
+            "All inherited run attempts of a pool are known; starting "
+            "inherited jobs.",
+            fields={
+                "pool": pool,
+                "took_ms": round(now_ms - self.term_started_ms),
+                "unanswered": sum(
+                    not worker.fenced for worker in self.workers.values()
+                ),
+                "suspects": len(self.possible_runs),
+            },
+        )
+        return True
+
+    def has_unknown_runs(self, pool, now_ms):
+        """Whether a worker of a pool may run tasks that are not known.
+
+        Args:
+            pool: Name of the pool.
+            now_ms: Monotonic time, in milliseconds.
+        """
+        outage_ms = now_ms - self.store.last_failed_ms
+        if outage_ms < REGISTRY_RECOVERY_MS and not self.has_record:
+            return True
+        return any(
+            worker.report.pool == pool
+            and not worker.fenced
+            and name not in self.possible_runs
+            for name, worker in self.workers.items()
+        )
--- a/packages/cicadafold/src/cicadafold/frontdoor/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Calls of the callers of jobs."""
--- /dev/null
+++ b/packages/cicadafold/src/cicadafold/peers/scheduler_client.py
@@ -0,0 +1,279 @@
+"""Client of the scheduler, and the handlers of messages between processes.
+
+The handlers run in the process that receives a message. They get the
+``CellNode`` of that process, the message and the link that it came over.
+"""
+
+import asyncio
+
+from cicadafold import exception
+from cicadafold.jobs import model
+from cicadafold.peers import link
+from cicadafold.peers import messages
+
+__all__ = ["SchedulerClient"]
+
+RETRY_AFTER_MS = 1000
+
+
+class SchedulerClient:
+    """Queries the scheduler, in this process or in another.
+
+    Args:
+        local: Function that returns the term that this process serves, or
+            None.
+        remote: ``SchedulerLink`` to the process that serves the newest
+            term.
+    """
+
+    def __init__(self, *, local, remote):
+        self.local = local
+        self.remote = remote
+
+    async def state(self, job, *, timeout_s):
+        """Returns the state of a job, or None if the job is unknown.
+
+        Args:
+            job: Identifier of the job.
+            timeout_s: Seconds to wait for a scheduler in another process.
+
+        Raises:
+            Starting: The scheduler has not read the journal far enough.
+            LinkNotOpen: There is no link to a scheduler.
+            LinkLost: The scheduler did not answer in time.
+        """
+        term = self.local()
+        if term is not None:
+            return term.job_state(job)
+        reply = await self.remote.call(
+            lambda number: messages.StateQuery(number, job),
+            timeout_s=timeout_s,
+        )
+        if not reply.ready:
+            raise starting_error()
+        return None if reply.state is None else model.JobState(reply.state)
+
+    async def health(self, *, timeout_s):
+        """Returns the health of the scheduler's term.
+
+        Args:
+            timeout_s: Seconds to wait for a scheduler in another process.
+
+        Returns:
+            The ``messages.Health``, or None if there is no link to the
+            scheduler or it does not answer in time.
+        """
+        term = self.local()
+        if term is not None:
+            return term.health()
+        try:
+            reply = await self.remote.call(
+                messages.HealthQuery, timeout_s=timeout_s
+            )
+        except (exception.LinkNotOpen, exception.LinkLost):
+            return None
+        return reply.health
+
+    async def record(self, key, value, *, timeout_s):
+        """Writes a journal record through the scheduler's process.
+
+        Args:
+            key: Key of the record.
+            value: Value of the record.
+            timeout_s: Seconds to wait for the reply.
+
+        Raises:
+            LogUnavailable: The record is not stored and never will be.
+            LinkNotOpen: There is no link to a scheduler; nothing was sent.
+            LinkLost: The link failed or the reply did not come in time;
+                the record may be stored.
+            OutcomeUnknown: The store did not confirm the record to the
+                scheduler's process; the record may be stored.
+        """
+        reply = await self.remote.call(
+            lambda number: messages.RecordQuery(number, key, value, timeout_s),
+            timeout_s=timeout_s,
+        )
+        if reply.outcome is messages.Outcome.STORED:
+            return
+        if reply.outcome is messages.Outcome.REFUSED:
+            raise exception.LogUnavailable(
+                message="The scheduler's process could not store the record.",
+                remedy="Send the request again later.",
+                retry_after_ms=RETRY_AFTER_MS,
+            )
+        raise exception.OutcomeUnknown(
+            message="The store did not confirm the record.",
+            remedy="Send the request again with the same ID.",
+        )
+
+    async def notify_accepted(self, spec):
+        """Notifies the scheduler of an accepted job with a durable record.
+
+        The message may be lost: the scheduler also finds the job when it
+        reads the journal, only later.
+        """
+        term = self.local()
+        if term is not None:
+            term.on_job_accepted(spec)
+        elif self.remote.link is not None:
+            await self.remote.link.send_if_open(messages.JobAccepted(spec))
+
+    async def notify_cancelled(self, job):
+        """Notifies the scheduler of a cancellation with a durable record."""
+        term = self.local()
+        if term is not None:
+            term.on_job_cancelled(job)
+        elif self.remote.link is not None:
+            await self.remote.link.send_if_open(messages.JobCancelled(job))
+
+    async def configuration(self, version, *, timeout_s):
+        """Returns the scheduler's configuration if it is newer, or None.
+
+        Args:
+            version: Version of the configuration that this process has.
+            timeout_s: Seconds to wait for the reply.
+
+        Raises:
+            LinkNotOpen: There is no link to a scheduler.
+            LinkLost: The scheduler did not answer in time.
+        """
+        reply = await self.remote.call(
+            lambda number: messages.ConfigurationQuery(number, version),
+            timeout_s=timeout_s,
+        )
+        return reply.configuration
+
+    async def pending(self, queue, *, timeout_s):
+        """Returns how many jobs of a queue have not started.
+
+        Args:
+            queue: Name of the queue.
+            timeout_s: Seconds to wait for a scheduler in another process.
+
+        Raises:
+            Starting: The scheduler has not read the journal far enough.
+            LinkNotOpen: There is no link to a scheduler.
+            LinkLost: The scheduler did not answer in time.
+        """
+        term = self.local()
+        if term is not None:
+            return term.pending(queue)
+        reply = await self.remote.call(
+            lambda number: messages.PendingQuery(number, queue),
+            timeout_s=timeout_s,
+        )
+        if not reply.ready:
+            raise starting_error()
+        return reply.count
+
+
+@link.handles(messages.StateQuery)
+async def answer_state(node, query, _):
+    """Returns the reply to a peer's query for the state of a job."""
+    try:
+        state = node.serving_term().job_state(query.job)
+    except exception.Starting:
+        return messages.StateReply(query.number, False)
+    value = None if state is None else state.value
+    return messages.StateReply(query.number, True, value)
+
+
+@link.handles(messages.PendingQuery)
+async def answer_pending(node, query, _):
+    """Returns the reply to a peer's query for a queue's pending jobs."""
+    try:
+        count = node.serving_term().pending(query.queue)
+    except exception.Starting:
+        return messages.PendingReply(query.number, False)
+    return messages.PendingReply(query.number, True, count)
+
+
+@link.handles(messages.HealthQuery)
+async def answer_health(node, query, _):
+    """Returns the health of this process's term and of its store access."""
+    health = messages.Health.NO_TERM
+    if node.term is not None:
+        health = node.term.health()
+    return messages.HealthReply(
+        query.number, health, node.store.since_served_ms
+    )
+
+
+@link.handles(messages.JobAccepted)
+async def handle_accepted(node, message, _):
+    """Passes a job that a peer has accepted to this process's term."""
+    if node.term is not None:
+        node.term.on_job_accepted(message.spec)
+
+
+@link.handles(messages.JobCancelled)
+async def handle_cancelled(node, message, _):
+    """Passes a cancellation that a peer has recorded to the term."""
+    if node.term is not None:
+        node.term.on_job_cancelled(message.job)
+
+
+@link.handles(messages.TakeOver)
+async def handle_take_over(node, message, _):
+    """Claims the next term for a scheduler that has handed over its own."""
+    await node.campaign.take_over(message.term)
+
+
+@link.handles(messages.RecordQuery)
+async def answer_record(node, query, _):
+    """Writes a journal record for a peer that does not reach the store."""
+    deadline_s = asyncio.get_running_loop().time() + query.timeout_s
+    try:
+        await node.writer.write(query.key, query.value, deadline_s=deadline_s)
+    except exception.LogUnavailable:
+        outcome = messages.Outcome.REFUSED
+    except exception.OutcomeUnknown:
+        outcome = messages.Outcome.UNKNOWN
+    else:
+        outcome = messages.Outcome.STORED
+    return messages.RecordReply(query.number, outcome)
+
+
+@link.handles(messages.ConfigurationQuery)
+async def answer_configuration(node, query, _):
+    """Returns this process's configuration if the peer's one is older.
+
+    A peer asks for it while it cannot read the configuration at the store.
+    """
+    current = node.routes.current
+    if current is None or current.version <= query.version:
+        return messages.ConfigurationReply(query.number)
+    return messages.ConfigurationReply(query.number, current)
+
+
+@link.handles(messages.AdviseQuery)
+async def answer_advise(node, query, _):
+    """Calls the advice service on behalf of the scheduler."""
+    try:
+        granted = await node.advice.advise(
+            query.job,
+            query.occurrence,
+            query.step,
+            query.workers,
+            timeout_s=query.timeout_s,
+        )
+    except exception.TargetUnreachable as error:
+        return messages.AdviseReply(query.number, None, str(error))
+    return messages.AdviseReply(query.number, granted)
+
+
+@link.handles(messages.Hello)
+async def handle_hello(node, hello, peer):
+    """Registers the process that has opened the link."""
+    peer.member = hello.member
+    node.on_hello(hello, peer)
+
+
+def starting_error():
+    """Returns the error for a scheduler that is still reading the journal."""
+    return exception.Starting(
+        message="The scheduler has not read the journal to its end.",
+        remedy="Send the request again.",
+        retry_after_ms=300,
+    )
--- a/packages/cicadafold/src/cicadafold/platform/frames.py
+++ b/packages/cicadafold/src/cicadafold/platform/record_codec.py
@@ -2,17 +2,22 @@
 
 import struct
 
-__all__ = ["join_records", "keyed_record", "split_keyed", "split_records"]
+__all__ = [
+    "encode_records",
+    "encode_keyed_record",
+    "decode_keyed_record",
+    "decode_records",
+]
 
 LENGTH = struct.Struct(">I")
 BOUNDS = struct.Struct(">QQ")
 
 
-def join_records(records):
+def encode_records(records):
     """Returns the body of an append.
 
     Examples:
-        >>> join_records([b"ab"])
+        >>> encode_records([b"ab"])
         b'\\x00\\x00\\x00\\x02ab'
     """
     parts = []
@@ -22,7 +27,7 @@
     return b"".join(parts)
 
 
-def split_records(body):
+def decode_records(body):
     """Splits the body of a read.
 
     Args:
@@ -45,22 +50,22 @@
     return end, first, records
 
 
-def keyed_record(key, value=b""):
+def encode_keyed_record(key, value=b""):
     """Returns a record of a keyed topic; no value drops the key.
 
     Examples:
-        >>> keyed_record("a", b"bc")
+        >>> encode_keyed_record("a", b"bc")
         b'\\x01abc'
     """
     name = key.encode()
     return bytes((len(name),)) + name + value
 
 
-def split_keyed(record):
+def decode_keyed_record(record):
     """Splits a record of a keyed topic into key and value.
 
     Examples:
-        >>> split_keyed(b"\\x01abc")
+        >>> decode_keyed_record(b"\\x01abc")
         ('a', b'bc')
     """
     if not record:
