--- a/packages/cicadafold/src/cicadafold/dispatch/registry_tail.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/registry_tail.py
@@ -51,9 +51,7 @@
                 if self.failing_since_ms is None:
                     self.failing_since_ms = clock.monotonic_ms()
                     LOG.warning(
-                        "Cannot read the registry of workers, retrying "
-                        "every %s s: %s",
-                        RETRY_PAUSE_S,
+                        "Cannot read the registry of workers, retrying: %s",
                         error,
                     )
                 await asyncio.sleep(RETRY_PAUSE_S)
--- a/packages/cicadafold/src/cicadafold/dispatch/stall_detector.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/stall_detector.py
@@ -33,8 +33,8 @@
     Attributes:
         ticked_ms: Monotonic time of the last tick of the event loop, in
             milliseconds.
-        claim_checked: Whether the newest claim was read, or could not be
-            read, since the last stall.
+        claim_checked: False from the detection of a stall until an attempt
+            to read the newest claim has ended.
     """
 
     def __init__(self, *, read_newest_claim, on_resumed):
@@ -44,7 +44,7 @@
         self.claim_checked = True
 
     def commands_allowed(self):
-        """Whether no stall is in progress or still to be checked."""
+        """Whether the process is not stalled and has checked its claim."""
         stalled_ms = clock.monotonic_ms() - self.ticked_ms
         return self.claim_checked and stalled_ms <= STALL_MS
 
@@ -56,9 +56,8 @@
             if stalled_ms > STALL_MS:
                 self.claim_checked = False
                 LOG.warning(
-                    "The process was stalled for more than %s ms; reading "
-                    "the newest claim before sending commands.",
-                    STALL_MS,
+                    "The process was stalled; reading the newest claim "
+                    "before sending commands.",
                     fields={"stalled_ms": round(stalled_ms)},
                 )
                 await self.check_newest_claim()
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_table.py
@@ -1,4 +1,4 @@
-"""Tests of which workers may be given runs, by what is recorded."""
+"""Tests of which workers may be given tasks, according to their records."""
 
 import asyncio
 import types
@@ -11,10 +11,12 @@
 
 
 class FakeJournal:
-    """Counts the records of workers.
+    """A journal that counts its batches and makes them durable on request.
 
     Attributes:
-        listed: Newest record.
+        batch: Number of the newest batch.
+        durable_batch: Number of the newest durable batch.
+        listed: Newest records of the workers.
     """
 
     def __init__(self):
@@ -24,20 +26,20 @@
         self.listed = None
 
     def record_workers(self, listed):
-        """Takes a record and returns its batch."""
+        """Keeps the records and returns the number of their batch."""
         self.batch += 1
         self.listed = listed
         return self.batch
 
     def advance(self):
-        """Makes all records durable."""
+        """Makes all batches durable."""
         self.durable_batch = self.batch
         self.batch_written.set()
         self.batch_written.clear()
 
 
 def make_table():
-    """Returns an empty table of workers and its journal."""
+    """Returns a table without workers, and its journal."""
     journal = FakeJournal()
     now_ms = clock.monotonic_ms()
     table = worker_table.WorkerTable(
@@ -59,8 +61,8 @@
     return table, journal
 
 
-async def settle(table, journal):
-    """Records the workers and makes the record durable."""
+async def record_durably(table, journal):
+    """Records the workers, makes the records durable and opens workers."""
     journal.batch_written = asyncio.Event()
     table.record_workers(table.inherited_runs.worker_records())
     opening = asyncio.create_task(table.open_when_recorded())
@@ -70,27 +72,27 @@
     opening.cancel()
 
 
-def test_worker_is_used_once_that_is_recorded(report):
-    """The next scheduler must not take it for one that runs nothing new."""
+def test_new_worker_gets_tasks_once_its_record_is_durable(report):
+    """Otherwise the next scheduler would not know that it may run tasks."""
     table, journal = make_table()
     table.add(report)
     worker = table.workers["w"]
     worker.fenced = True
     now_ms = clock.monotonic_ms()
     assert not worker.usable(now_ms)
-    asyncio.run(settle(table, journal))
+    asyncio.run(record_durably(table, journal))
     assert worker.usable(now_ms)
 
 
 def test_silent_worker_is_closed_until_its_return_is_recorded(
     report, monkeypatch
 ):
-    """A record that names its tasks holds until a newer one is durable."""
+    """It stays closed while the durable record names its tasks."""
     table, journal = make_table()
     table.add(report)
     worker = table.workers["w"]
     worker.fenced = True
-    asyncio.run(settle(table, journal))
+    asyncio.run(record_durably(table, journal))
     now_ms = clock.monotonic_ms()
     worker.silent(now_ms, 6000.0)
     table.record_workers(table.inherited_runs.worker_records())
@@ -101,12 +103,12 @@
     assert journal.listed[0].tasks == []
     worker.answered()
     assert not worker.usable(now_ms + 900.0)
-    asyncio.run(settle(table, journal))
+    asyncio.run(record_durably(table, journal))
     assert worker.usable(now_ms + 900.0)
 
 
-def test_worker_that_the_last_term_used_is_used_at_once(report):
-    """The record of the last term holds until this one has its own."""
+def test_worker_that_was_open_in_the_last_term_is_opened_at_once(report):
+    """The record of the last term holds until this term writes one."""
     table, _ = make_table()
     known = records.KnownWorkers(1, 1, [records.KnownWorker(report)])
     table.add(report)
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
@@ -1,4 +1,4 @@
-"""The workers of a term: registry, links, and the record of them."""
+"""The workers of a term: their registry entries, links and records."""
 
 import asyncio
 
@@ -10,8 +10,8 @@
 
 __all__ = ["WorkerTable"]
 
-# A worker that left the registry while it answers is used this long, as
-# entries that lapsed in an outage of the store come back.
+# A worker that is removed from the registry may still be given tasks for this
+# time. Entries that expired in an outage of the store are back by then.
 UNLISTED_GRACE_S = 2.3
 RECORD_PERIOD_S = 0.2
 
@@ -19,24 +19,34 @@
 
 
 class WorkerTable:
-    """Workers by name, each with its link.
+    """Workers of a term by name, each with its link.
+
+    A worker is open if it may be given tasks, otherwise closed. The journal
+    records the closed workers with the tasks that they may run, for the next
+    term. A closed worker is therefore opened only after the record that lists
+    it as open is durable.
 
     Args:
         term: Number of the term.
         registry: Reader of the registry of workers.
-        make_calls: Function that returns the client of a worker.
-        lease: Times of leases.
+        make_client: Function that returns the client of a worker, from its
+            report and the number of the term.
+        lease: Durations of leases.
         journal: Writer of progress, which also records the workers.
-        begun_ms: Monotonic time of the term's begin.
+        term_started_ms: Monotonic time of the term's start, in milliseconds.
 
     Attributes:
-        events: Receiver of what the links notice; set before the first
+        workers: Workers by name.
+        links: Links by name of the worker.
+        changed: Whether the workers have changed since they were recorded.
+        started: Whether the link of a new worker is run at once.
+        opening: Closed workers that are opened once their newest record is
+            durable.
+        events: Handler of the events of the links; set before the first
             report.
-        inheritance: Tells what earlier terms may have left.
+        inherited_runs: Run attempts that earlier terms may have left.
         spawn: Function that runs a coroutine as a task.
-        wake: Function called when room may have become free.
-        started: Whether links are run as soon as they are made.
-        opening: Workers that may be given runs once that is recorded.
+        wake: Function called when free capacity may have increased.
     """
 
     def __init__(
@@ -63,7 +73,7 @@
         )
 
     def start_links(self):
-        """Runs the links of all workers, and of those that come."""
+        """Runs the links of all workers, and of those added later."""
         self.started = True
         for link in self.links.values():
             self.spawn(link.run())
@@ -74,14 +84,17 @@
             link.closed = True
 
     def on_report(self, report):
-        """Takes a worker's report."""
+        """Adds the worker of a report, or updates it."""
         worker = self.workers.get(report.id)
         if worker is None:
             self.add(report)
             return
         if report.draining and not worker.report.draining:
             self.changed = True
-            LOG.info("A worker is leaving.", fields={"worker": report.id})
+            LOG.info(
+                "A worker is draining; it gets no new tasks.",
+                fields={"worker": report.id},
+            )
         if report.address != worker.report.address:
             self.links[report.id].client = self.make_client(report, self.term)
         worker.report = report
@@ -91,7 +104,7 @@
         self.wake()
 
     def add(self, report):
-        """Adds a worker and its link."""
+        """Adds the worker of a report, with its link."""
         worker = runs.Worker(report=report, now_ms=clock.monotonic_ms())
         worker.begun_ms = max(self.term_started_ms, worker.begun_ms)
         self.workers[report.id] = worker
@@ -105,33 +118,43 @@
         self.links[report.id] = link
         self.changed = True
         LOG.info(
-            "A worker is known.",
+            "A worker was added.",
             fields={"worker": report.id, "pool": report.pool},
         )
         if self.started:
             self.spawn(link.run())
 
     def on_removed(self, name):
-        """Notes that a worker has left the registry."""
-        LOG.info("A worker left the registry.", fields={"worker": name})
+        """Handles that a worker was removed from the registry."""
+        LOG.info(
+            "A worker was removed from the registry.",
+            fields={"worker": name},
+        )
         self.spawn(self.unlist_after_grace(name))
 
     async def unlist_after_grace(self, name):
-        """Takes a worker out of use unless its entry comes back."""
+        """Stops the use of a worker if it is not listed again by then.
+
+        Args:
+            name: Name of a worker that was removed from the registry.
+        """
         await asyncio.sleep(UNLISTED_GRACE_S)
         if name not in self.registry.names and name in self.workers:
             self.workers[name].listed = False
 
     def on_answering_changed(self, worker, *, answers):
-        """Notes that a worker answers, or fell silent."""
+        """Handles that a worker answers again, or has become silent."""
         if answers:
             self.inherited_runs.on_worker_answered(worker.report.id)
         self.changed = True
 
     def add_inherited(self, recorded):
-        """Takes workers of the last term that the registry has lost.
+        """Adds workers of the last term that the registry does not list.
+
+        They may still run tasks; they get no new ones until they are listed.
 
-        They may run tasks; they get no new ones until they are listed.
+        Args:
+            recorded: Record of the workers of the last term, or None.
         """
         for known in recorded.workers if recorded else ():
             if known.report.id not in self.workers:
@@ -139,7 +162,7 @@
                 self.workers[known.report.id].listed = False
 
     async def record_changes(self):
-        """Records the workers whenever they have changed."""
+        """Records the workers in the journal whenever they have changed."""
         while True:
             self.remove_lapsed()
             silent = any(
@@ -152,11 +175,14 @@
 
     @property
     def open_workers(self):
-        """Workers that may be given runs, as far as recorded."""
+        """Workers that may be given tasks according to their records."""
         return [x for x in self.workers.values() if not x.closed]
 
     def record_workers(self, listed):
-        """Records the workers, and closes those that get no new runs.
+        """Writes the records of the workers, and closes or opens workers.
+
+        Workers whose record names their tasks are closed at once. The others
+        are opened when the record is durable.
 
         Args:
             listed: Record of each worker.
@@ -172,12 +198,12 @@
                 self.opening.add(worker)
 
     def open_inherited(self):
-        """Opens the workers that the last term's record lets be used."""
+        """Opens the workers that were open in the last term's record."""
         for name in self.inherited_runs.open_names & set(self.workers):
             self.workers[name].closed = False
 
     async def open_when_recorded(self):
-        """Opens workers whenever it is recorded that they are used."""
+        """Opens workers whenever their records have become durable."""
         while True:
             await self.journal.batch_written.wait()
             durable = self.journal.durable_batch
@@ -189,10 +215,14 @@
                 self.wake()
 
     def remove_lapsed(self):
-        """Forgets workers that have left and whose leases are over."""
+        """Removes workers that are not listed and whose leases have lapsed."""
         for name, worker in list(self.workers.items()):
             if worker.lapsed and not worker.listed:
-                LOG.info("A worker is forgotten.", fields={"worker": name})
+                LOG.info(
+                    "A worker was removed: it is not in the registry and its "
+                    "leases have lapsed.",
+                    fields={"worker": name},
+                )
                 self.links.pop(name).closed = True
                 del self.workers[name]
                 self.changed = True
