--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
@@ -1,4 +1,4 @@
-"""Tests of leases, ends and doubtful orders on one worker."""
+"""Tests of leases, ends and unconfirmed start commands on one worker."""
 
 import asyncio
 import types
@@ -21,7 +21,14 @@
 
 
 class FakeCalls:
-    """A worker that answers what the test says."""
+    """A client of a worker that answers with the test's inventory.
+
+    Attributes:
+        inventory: Inventory of the next answer.
+        deadlines: Lease ends of the renewals, None for no extension.
+        acknowledged: Acknowledged numbers of the renewals.
+        silent: Whether renewals get no answer.
+    """
 
     def __init__(self):
         self.inventory = worker_calls.Inventory(1000, 1, [], [])
@@ -30,7 +37,7 @@
         self.silent = False
 
     async def renew(self, *, acknowledged, deadline_ms, wait_ms, timeout_s):
-        """Answers a renewal."""
+        """Answers a renewal, unless the worker is silent."""
         self.deadlines.append(deadline_ms)
         self.acknowledged.append(acknowledged)
         if self.silent:
@@ -39,7 +46,14 @@
 
 
 class FakeEvents:
-    """Notes what the link reports."""
+    """Keeps what the link reports.
+
+    Attributes:
+        gone: Run attempts that are gone or to be stopped, with the reason.
+        ends: Numbers of the ends that were applied.
+        tasks: Coroutines that were to be run.
+        deferred: Numbers of the ends that cannot be handled yet.
+    """
 
     def __init__(self):
         self.gone = []
@@ -48,26 +62,26 @@
         self.deferred = set()
 
     def on_end(self, worker, end, run):
-        """Takes an end; batch 3 will record it."""
+        """Applies an end, to be recorded by batch 3, or defers it."""
         if end.number in self.deferred:
             return None
         self.ends.append(end.number)
         return 3
 
     def on_run_gone(self, worker, run, reason):
-        """Takes a run that is gone."""
+        """Keeps a run attempt that is gone, and removes it."""
         self.gone.append((run, reason))
         worker.remove(run)
 
     def on_unexpected_run(self, worker, row):
-        """Ignores a run of an earlier term."""
+        """Ignores a run attempt of an earlier term."""
 
     def expected_ms(self, run):
-        """Returns the same duration for all runs."""
+        """Returns the same duration for all run attempts."""
         return 1000.0
 
     def stop_run(self, run):
-        """Notes that a run should be stopped."""
+        """Keeps a run attempt that is to be stopped."""
         self.gone.append((run, "stop"))
 
     def on_silent(self, worker):
@@ -77,16 +91,16 @@
         """Ignores that a worker answers."""
 
     def on_capacity_changed(self):
-        """Ignores that room may be free."""
+        """Ignores that free capacity may have increased."""
 
-    def spawn(self, work):
-        """Keeps a coroutine, not run here."""
-        work.close()
-        self.tasks.append(work)
+    def spawn(self, coroutine):
+        """Keeps a coroutine without running it."""
+        coroutine.close()
+        self.tasks.append(coroutine)
 
 
 class FakeJournal:
-    """A journal that has recorded some batches."""
+    """A journal whose newest durable batch the test sets."""
 
     def __init__(self):
         self.durable_batch = 0
@@ -95,7 +109,7 @@
 
 @pytest.fixture
 def job():
-    """A job with one gang of two tasks."""
+    """A job with one step, a gang of two tasks."""
     rule = model.QueueRule(
         name="q", authority="h", prefix="/", pool="p", priority=0
     )
@@ -124,7 +138,7 @@
 
 
 def add_run(link, job, state, index=0):
-    """Adds a run of a task to the link's worker."""
+    """Adds a run attempt of the task at an index to the link's worker."""
     task = job.steps[0][0].tasks[index]
     made = runs.Run(
         task=task,
@@ -140,7 +154,7 @@
 
 
 def test_end_is_acknowledged_only_when_recorded(link, job):
-    """An end is handled once, and acknowledged after its batch."""
+    """An end is applied once, and acknowledged when its batch is durable."""
     add_run(link, job, State.RUNNING)
     end = model.EndReport(
         1, job.steps[0][0].tasks[0].name, 1, model.EndKind.DONE, ""
@@ -156,21 +170,25 @@
     assert link.worker.acknowledged == 1
 
 
-def test_doubtful_order_keeps_its_room_in_a_new_life(link, job):
-    """A late order may reach the next life, so its room stays taken."""
+def test_unconfirmed_start_stays_reserved_after_a_restart(link, job):
+    """A late start command may reach the new incarnation of the worker."""
     asyncio.run(link.renew(wait=True))
-    doubtful = add_run(link, job, State.DOUBTFUL)
-    doubtful.uncertain = True
+    unconfirmed = add_run(link, job, State.DOUBTFUL)
+    unconfirmed.uncertain = True
     running = add_run(link, job, State.RUNNING, 1)
     link.client.inventory = worker_calls.Inventory(5, 2, [], [])
     asyncio.run(link.renew(wait=True))
-    assert link.events.gone == [(running, "reborn")]
-    assert doubtful.key in link.worker.runs
+    assert link.events.gone == [(running, "its worker has restarted")]
+    assert unconfirmed.key in link.worker.runs
     assert link.worker.view().cores_milli == 15000
 
 
-def test_stop_of_an_old_life_settles_no_order_in_a_new_one(link, job):
-    """An unanswered order that was stopped is doubtful again when reborn."""
+def test_stop_of_an_unconfirmed_start_is_void_after_a_restart(link, job):
+    """The new incarnation does not know that the run attempt was stopped.
+
+    So a stopped or removed run attempt whose start command was not answered
+    becomes unconfirmed again, and its resources are reserved.
+    """
     asyncio.run(link.renew(wait=True))
     stopped = add_run(link, job, State.STOPPING)
     stopped.uncertain = True
@@ -187,8 +205,8 @@
     assert link.worker.view().cores_milli == 14000
 
 
-def test_silent_worker_is_not_renewed_and_lapses(link, job, monkeypatch):
-    """Probes of a silent worker do not extend its lease."""
+def test_lease_of_a_silent_worker_is_not_extended(link, job, monkeypatch):
+    """Its run attempts are gone once the lease has lapsed."""
     asyncio.run(link.renew(wait=True))
     asyncio.run(link.renew(wait=True))
     run = add_run(link, job, State.RUNNING)
@@ -204,11 +222,11 @@
     assert lapse_ms - clock.monotonic_ms() > link.lease.lease_ms
     monkeypatch.setattr(clock, "monotonic_ms", lambda: lapse_ms + 1)
     link.on_no_answer(error)
-    assert link.events.gone == [(run, "lapsed")]
+    assert link.events.gone == [(run, "its lease has lapsed")]
 
 
 def test_member_that_has_done_its_part_does_not_stand_still(link, job):
-    """A gang's member at 100 percent waits for the slower ones."""
+    """A gang member at 100 percent waits for the slower members."""
     run = add_run(link, job, State.RUNNING)
     watcher = watching.Watcher(workers={}, table=None, events=None)
     later_ms = run.percent_ms + watching.STILL_MS + 1
@@ -219,7 +237,7 @@
 
 
 def test_gang_resumes_from_one_checkpoint(job):
-    """All members resume from the checkpoint of the one furthest on."""
+    """All members resume from the checkpoint with the most progress."""
     step = job.steps[0][0]
     step.tasks[0].save_checkpoint("early", 20.0)
     step.tasks[1].save_checkpoint("late", 60.0)
@@ -258,7 +276,7 @@
 
 
 def test_long_job_does_not_make_its_worker_slow(link, job):
-    """A job that is slow everywhere is not moved for its own rate."""
+    """A job that is slow on every worker is not moved because of that."""
     run = add_run(link, job, State.RUNNING)
     now_ms = run.started_ms + 1000.0
     meter = link.worker.meter
@@ -272,62 +290,65 @@
     assert link.events.gone == []
 
 
-def test_only_suspect_tasks_wait_for_a_silent_worker(link, job, monkeypatch):
-    """A worker that was silent before the term holds up its tasks only."""
+def test_only_recorded_tasks_wait_for_a_silent_worker(link, job, monkeypatch):
+    """A worker that was silent before the term delays only its own tasks."""
     now_ms = clock.monotonic_ms()
     first, second = job.steps[0][0].tasks
-    held = inherited_runs.InheritedRuns(
+    inherited = inherited_runs.InheritedRuns(
         workers={"w": link.worker},
         store=types.SimpleNamespace(failed_ms=-1e12),
         term_started_ms=now_ms,
         lease_ms=6000.0,
     )
-    assert not held.all_runs_known("p")
+    assert not inherited.all_runs_known("p")
     add_run(link, job, State.DOUBTFUL)
     link.worker.silent(now_ms, 6000.0)
     link.worker.fenced = True
-    known = records.KnownWorkers(1, 1, held.worker_records())
+    known = records.KnownWorkers(1, 1, inherited.worker_records())
     link.worker.fenced = False
     table = types.SimpleNamespace(find=job.find_task)
-    held.load(known, table)
-    assert held.all_runs_known("p")
+    inherited.load(known, table)
+    assert inherited.all_runs_known("p")
     assert first.not_before_ms > now_ms + 6000.0
     assert second.not_before_ms == 0.0
-    # Silent since before this term: the last list is handed on.
-    assert held.worker_records()[0].tasks == [first.name]
-    held.on_worker_answered("w")
+    # The worker has been silent since before this term, so the tasks of the
+    # last record are recorded again.
+    assert inherited.worker_records()[0].tasks == [first.name]
+    inherited.on_worker_answered("w")
     assert first.not_before_ms == 0.0
 
 
-def test_unknown_worker_holds_up_its_pool_until_leases_end(link, monkeypatch):
-    """A worker that answers nobody may run any inherited task."""
+def test_unanswering_worker_delays_its_pool_until_leases_lapse(
+    link, monkeypatch
+):
+    """Without a record, it may run any inherited task of its pool."""
     now_ms = clock.monotonic_ms()
-    held = inherited_runs.InheritedRuns(
+    inherited = inherited_runs.InheritedRuns(
         workers={"w": link.worker},
         store=types.SimpleNamespace(failed_ms=-1e12),
         term_started_ms=now_ms,
         lease_ms=6000.0,
     )
-    held.load(None, None)
-    assert not held.all_runs_known("p")
+    inherited.load(None, None)
+    assert not inherited.all_runs_known("p")
     monkeypatch.setattr(clock, "monotonic_ms", lambda: now_ms + 6300.0)
-    assert held.all_runs_known("p")
+    assert inherited.all_runs_known("p")
 
 
-def test_silent_worker_without_a_list_is_recorded_as_unknown(link):
-    """A worker that never answered this term has no list of its own."""
-    held = inherited_runs.InheritedRuns(
+def test_tasks_of_a_never_answering_worker_are_recorded_as_unknown(link):
+    """Neither this term nor the last record knows its tasks."""
+    inherited = inherited_runs.InheritedRuns(
         workers={"w": link.worker},
         store=types.SimpleNamespace(failed_ms=-1e12),
         term_started_ms=clock.monotonic_ms(),
         lease_ms=6000.0,
     )
     link.worker.silent(clock.monotonic_ms(), 6000.0)
-    assert held.worker_records()[0].tasks is None
+    assert inherited.worker_records()[0].tasks is None
 
 
-def test_end_that_cannot_be_handled_holds_back_later_ones(link):
-    """Its number and those behind it come again, and none is lost."""
+def test_deferred_end_defers_later_ends(link):
+    """The deferred end and all later ones are applied afterwards, in order."""
     name = model.TaskName("ab", 0, 0, 0)
     found = [
         model.EndReport(number, name, number, model.EndKind.DONE, "")
@@ -344,8 +365,12 @@
     assert not link.ends_deferred
 
 
-def test_number_is_acknowledged_until_it_is_answered(link):
-    """A renewal that a later life takes acknowledges nothing there."""
+def test_acknowledgement_is_sent_until_it_is_answered(link):
+    """A number is not sent again after an answer.
+
+    Ends are numbered anew after a restart. A renewal that reaches the new
+    incarnation must not acknowledge its ends.
+    """
     asyncio.run(link.renew(wait=True))
     link.worker.acknowledged = 5
     link.client.silent = True
@@ -358,8 +383,8 @@
     assert link.client.acknowledged == [0, 5, 0, 0, 5, 0]
 
 
-def test_number_is_not_sent_long_after_the_last_answer(link):
-    """Its worker may have started anew and ended other tasks meanwhile."""
+def test_acknowledgement_is_not_sent_long_after_the_last_answer(link):
+    """The worker may have restarted and ended other tasks in between."""
     asyncio.run(link.renew(wait=True))
     link.worker.acknowledged = 5
     link.worker.clock.seen_ms -= 1000.0
@@ -372,10 +397,10 @@
     ("answered_ms", "listed", "kept"),
     [(-50.0, False, False), (50.0, False, True), (-50.0, True, True)],
 )
-def test_run_of_the_new_life_is_not_taken_for_lost(
+def test_run_of_the_new_incarnation_is_not_removed(
     link, job, answered_ms, listed, kept
 ):
-    """An order may reach the new life before its first inventory is seen."""
+    """A start command may arrive between the restart and the inventory."""
     link.worker.born_ms = 1
     run = add_run(link, job, State.RUNNING)
     sent_ms = clock.monotonic_ms()
@@ -383,4 +408,6 @@
     rows = [model.RunReport(run.name, 1, "", 10.0, 0.0)] if listed else []
     link.on_inventory(worker_calls.Inventory(1000, 2, rows, []), sent_ms)
     assert (run.key in link.worker.runs) is kept
-    assert link.events.gone == ([] if kept else [(run, "reborn")])
+    assert link.events.gone == (
+        [] if kept else [(run, "its worker has restarted")]
+    )
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
@@ -1,4 +1,4 @@
-"""Applies what workers report to jobs, and learns from it."""
+"""Applies what workers report to their jobs and to the scheduler's state."""
 
 from cicadafold import clock
 from cicadafold.dispatch import runs
@@ -7,16 +7,17 @@
 
 __all__ = ["WorkerEventHandler"]
 
-# A worker on which runs of this many jobs have failed in a row, with no
-# success between them, gets no new runs for a while.
-FAULTY_JOBS = 2
+# A worker on which tasks of this many jobs have failed, without a success in
+# between, is quarantined. The quarantine doubles each time up to the maximum.
+QUARANTINE_JOBS = 2
 QUARANTINE_MS = 2500.0
-LONGEST_QUARANTINE_MS = 20000.0
-# Pause before a gang whose start did not succeed is tried again.
+MAX_QUARANTINE_MS = 20000.0
+# Pause before a gang is started again after a member has ended or was lost.
 GANG_PAUSE_MS = 60.0
 RESTART_PAUSE_MS = 20.0
-# Progress of a checkpoint whose run is not known.
-LEAST_PERCENT = 0.1
+# Progress in percent that is assumed for a checkpoint of an unknown run
+# attempt.
+UNKNOWN_PERCENT = 0.1
 
 LOG = logs.get_logger("ends")
 Kind = model.EndKind
@@ -24,17 +25,22 @@
 
 
 class WorkerEventHandler:
-    """Receives what the worker links notice.
+    """Handles the events that the worker links report.
 
     Args:
-        table: Jobs.
-        learned: Expected durations.
-        group: Task group for stops.
-        wake: Function called when placing may have something to do.
-        step_down: Function called when a later term is met.
-        on_workers: Function called when workers fall silent or answer.
-        unknown: Keeper of work whose job is not known yet.
-        metrics: Where ends are counted.
+        job_table: Jobs.
+        estimates: Expected durations, which learn from tasks that are done.
+        task_group: Task group of the term, which runs the stops.
+        wake: Function called when waiting tasks may have become placeable.
+        step_down: Function called, with the reason, when a worker knows of a
+            later term.
+        on_answering_changed: Function called when a worker becomes silent or
+            answers again.
+        unknown_runs: Run attempts of jobs that are not known yet.
+        metrics: Metrics of the process, which count the ends.
+
+    Attributes:
+        links: Worker links by name of the worker.
     """
 
     def __init__(
@@ -59,45 +65,58 @@
         self.metrics = metrics
         self.links = {}
 
-    def spawn(self, work):
+    def spawn(self, coroutine):
         """Runs a coroutine as a task of the term."""
-        self.task_group.create_task(work)
+        self.task_group.create_task(coroutine)
 
     def expected_ms(self, run):
-        """Returns the expected duration of a run, None if it has none."""
+        """Returns the expected duration of a run attempt, in milliseconds.
+
+        Returns:
+            The duration; None for an unknown task, and for tasks that run
+            until they are cancelled or only fill unused cores.
+        """
         task = run.task
         if task is None or task.step.spec.lasting or task.step.spec.fills:
             return None
         return self.estimates.step_ms(task.step)
 
     def on_capacity_changed(self):
-        """Notes that room may have become free."""
+        """Handles that free capacity may have increased."""
         self.wake()
 
     def on_fenced(self, worker):
-        """Notes that a worker has met a later term."""
-        self.step_down(f"worker {worker.report.id} has a higher fence")
+        """Ends the term, as a worker has the fence of a later one."""
+        self.step_down(
+            f"worker {worker.report.id} has the fence of a later term"
+        )
 
     def on_silent(self, worker):
-        """Notes that a worker does not answer."""
+        """Handles that a worker has stopped answering."""
         self.on_answering_changed(worker, answers=False)
 
     def on_answering(self, worker):
-        """Notes that a worker answers for the first time, or again."""
+        """Handles that a worker answers for the first time, or again."""
         self.on_answering_changed(worker, answers=True)
 
     def stop_run(self, run):
-        """Stops a run through the link of its worker."""
+        """Stops a run attempt through the link of its worker."""
         link = self.links.get(run.worker.report.id)
         if link is not None:
             link.schedule_stop(run)
 
     def on_end(self, worker, end, run):
-        """Applies an end.
+        """Applies an end that a worker has reported.
+
+        Args:
+            worker: Worker that reported the end.
+            end: The end.
+            run: The run attempt that ended, or None if it is not known.
 
         Returns:
-            Number of the journal batch that records it, 0 if none has to,
-            None if the end has to be handled later.
+            Number of the journal batch that records the end; 0 if it needs
+            no record; None if its job is not known yet, so that the end has
+            to be handled later.
         """
         key = (end.name, end.attempt)
         if self.job_table.unknown(
@@ -107,7 +126,7 @@
         self.metrics.count("runs_ended", kind=end.kind.value)
         task = None if end.name is None else self.job_table.find(end.name)
         LOG.info(
-            "A run has ended: %s.",
+            "A run attempt has ended: %s.",
             end.kind.value,
             fields={
                 "request_id": end.name.job if end.name else "",
@@ -123,7 +142,7 @@
         if task is None:
             return self.on_closed_task_end(end)
         task.save_checkpoint(
-            end.checkpoint, run.percent if run else LEAST_PERCENT
+            end.checkpoint, run.percent if run else UNKNOWN_PERCENT
         )
         if task.step.spec.lasting:
             return self.on_lasting_task_end(task)
@@ -136,11 +155,16 @@
         return 0
 
     def on_closed_task_end(self, end):
-        """Handles an end of work that is not open any more.
+        """Handles an end of a task whose occurrence is closed.
+
+        Other members of a gang and speculative copies end after the
+        occurrence of their step was closed. Their ends are acknowledged only
+        after the close is recorded; otherwise the next scheduler would start
+        the tasks again.
 
-        A gang's other members, and copies, end after their occurrence was
-        closed. Their ends are acknowledged only once that is recorded, as
-        the next scheduler would start the work again otherwise.
+        Returns:
+            Number of the journal batch that records the close, 0 if it is
+            recorded or the job is not known.
         """
         job = (
             None if end.name is None else self.job_table.jobs.get(end.name.job)
@@ -150,12 +174,23 @@
         return self.job_table.journal.record_job(job)
 
     def on_lasting_task_end(self, task):
-        """Lets a lasting task start again, however it ended."""
+        """Lets a task that runs until it is cancelled start again.
+
+        Returns:
+            0, as the end needs no record.
+        """
         task.not_before_ms = clock.monotonic_ms() + RESTART_PAUSE_MS
         return 0
 
     def on_task_done(self, worker, task, run):
-        """Applies a success."""
+        """Marks a task as done and learns its duration.
+
+        The duration of a task with a checkpoint is not learned, as the task
+        may have been resumed.
+
+        Returns:
+            Number of the journal batch that records it.
+        """
         worker.faults = 0
         worker.faulty_jobs = frozenset()
         if run is not None and not task.done:
@@ -165,9 +200,15 @@
         return self.job_table.task_done(task)
 
     def on_task_failed(self, worker, task, end):
-        """Applies a failure, and judges the worker by it."""
+        """Counts a failure for its task, and for the worker if it may be.
+
+        Returns:
+            Number of the journal batch that records it, 0 if the task was
+            done already.
+        """
         if not task.step.avoided_workers - {worker.report.id}:
-            # A step that failed elsewhere before may be at fault itself.
+            # A step that has failed on another worker too may itself be
+            # faulty, so its failure is not counted for the worker.
             self.quarantine_if_faulty(worker, task.step.job.spec.id)
         task.step.avoided_workers.add(worker.report.id)
         if task.done:
@@ -177,40 +218,57 @@
         return self.job_table.task_failed(task, end.attempt)
 
     def quarantine_if_faulty(self, worker, job):
-        """Keeps new runs from a worker on which many jobs fail."""
+        """Counts a failed job of a worker, and quarantines it after several.
+
+        Args:
+            worker: Worker on which a task has failed.
+            job: Identifier of the task's job.
+        """
         worker.faulty_jobs = worker.faulty_jobs | {job}
-        # After a pause, one failure without a success is enough.
-        bound = 1 if worker.faults else FAULTY_JOBS
-        if len(worker.faulty_jobs) < bound:
+        # After a quarantine, one failed job without a success is enough.
+        jobs_needed = 1 if worker.faults else QUARANTINE_JOBS
+        if len(worker.faulty_jobs) < jobs_needed:
             return
         worker.faults += 1
         pause_ms = min(
-            LONGEST_QUARANTINE_MS, QUARANTINE_MS * 2 ** (worker.faults - 1)
+            MAX_QUARANTINE_MS, QUARANTINE_MS * 2 ** (worker.faults - 1)
         )
         worker.quarantined_until_ms = clock.monotonic_ms() + pause_ms
         worker.faulty_jobs = frozenset()
         LOG.warning(
-            "A worker gets no new runs for a while.",
+            "A worker is quarantined after failures of its tasks; it gets no "
+            "new tasks during the pause.",
             fields={"worker": worker.report.id, "pause_ms": pause_ms},
         )
 
     def restart_gang(self, step, attempt):
-        """Stops what is left of a gang's run, so that it starts anew."""
+        """Stops the other members of a gang, so that it is started again.
+
+        Args:
+            step: Step of the gang.
+            attempt: Attempt of which a member has ended or was lost.
+        """
         step.gang_not_before_ms = clock.monotonic_ms() + GANG_PAUSE_MS
         self.stop_attempt(step, attempt)
 
     def stop_attempt(self, step, attempt):
-        """Stops all runs of one attempt of a step."""
+        """Stops all run attempts of a step with the given attempt number."""
         for task in step.tasks:
             for run in task.runs:
                 if run.attempt == attempt:
                     self.stop_run(run)
 
     def on_run_gone(self, worker, run, reason):
-        """Notes that a run is proved gone without an end."""
+        """Handles that a run attempt is proved to be gone without an end.
+
+        Args:
+            worker: Worker of the run attempt.
+            run: The run attempt.
+            reason: Why it no longer exists, for the log.
+        """
         worker.remove(run)
         LOG.info(
-            "A run is gone: %s.",
+            "A run attempt no longer exists: %s.",
             reason,
             fields=runs.run_fields(run),
         )
@@ -224,7 +282,12 @@
         self.wake()
 
     def on_unexpected_run(self, worker, row):
-        """Adopts a run of an earlier term, or stops it."""
+        """Adopts a run attempt of an earlier term, or stops it.
+
+        Args:
+            worker: Worker that has listed the run attempt.
+            row: Entry of the run attempt in the worker's inventory.
+        """
         if row.name is None:
             return
         task = self.job_table.find(row.name)
@@ -245,7 +308,7 @@
         if self.job_table.unknown(row.name):
             self.keep_unknown_run(worker, run, row)
             return
-        keep = (
+        adopted = (
             task is not None
             and not task.done
             and not task.runs
@@ -253,28 +316,28 @@
             and not task.step.done
         )
         worker.add(run)
-        if keep:
+        if adopted:
             job.started = True
             task.save_checkpoint(row.checkpoint, row.percent)
         LOG.info(
-            "A run of an earlier term is adopted."
-            if keep
-            else "A run that is not wanted is stopped.",
+            "A run attempt of an earlier term was adopted."
+            if adopted
+            else "Stopping an unknown run attempt that is not needed.",
             fields={
                 "request_id": row.name.job,
                 "attempt": row.attempt,
                 "worker": worker.report.id,
             },
         )
-        if not keep:
+        if not adopted:
             self.stop_run(run)
 
     def keep_unknown_run(self, worker, run, row):
-        """Leaves a run alone until its job's record must have been read."""
+        """Keeps a run attempt until the record of its job must be read."""
         worker.add(run)
         self.unknown_runs.add(run, row)
         LOG.info(
-            "A run of a job that is not known yet is kept.",
+            "Keeping a run attempt of a job that is not known yet.",
             fields={
                 "request_id": row.name.job,
                 "attempt": row.attempt,
@@ -283,24 +346,34 @@
         )
 
     def on_job_known(self, job_id):
-        """Adopts or stops the runs of a job that was not known."""
+        """Adopts or stops the kept run attempts of a job, now known."""
         for run, row in self.unknown_runs.pop_job(job_id):
             if run.key in run.worker.runs:
                 run.worker.remove(run)
                 self.on_unexpected_run(run.worker, row)
 
     def stop_unknown_runs(self):
-        """Stops the runs whose job has no record."""
+        """Stops the run attempts whose job has no record."""
         for run in self.unknown_runs.pop_without_record():
             LOG.warning(
-                "A run of an unknown job is stopped.",
+                "Stopping a run attempt whose job has no record.",
                 fields=runs.run_fields(run),
             )
             self.stop_run(run)
 
 
 def task_resources(job, name, worker):
-    """Returns the room of a task, its worker's if it is not known."""
+    """Returns the resources that a listed task needs.
+
+    Args:
+        job: Job of the task, or None.
+        name: Name of the task.
+        worker: Worker that has listed the task.
+
+    Returns:
+        Resources of the task; the whole capacity of the worker if the job or
+        step is not known.
+    """
     if job is None or not 0 <= name.step < len(job.spec.steps):
         return worker.report.capacity
     return job.spec.steps[name.step].reserved_resources
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -1,4 +1,4 @@
-"""Keeps the lease of one worker and follows what runs on it."""
+"""Renews the lease of one worker, sends its commands and tracks its runs."""
 
 import asyncio
 
@@ -14,37 +14,42 @@
 State = runs.RunState
 
 MILLISECONDS = 1000.0
-# Wait of a renewal at the worker; a new end answers at once.
+# A worker holds a renewal for at most this time before it answers, and
+# answers at once when a task ends.
 RENEW_WAIT_MS = 700
-# An answer takes one round trip, at most some tens of milliseconds.
+# Time allowed for an answer beyond that wait. An answer takes one round trip,
+# at most some tens of milliseconds.
 ANSWER_SLACK_S = 0.6
 COMMAND_TIMEOUT_S = 0.7
 NO_ANSWER_PAUSE_S = 0.2
 # Longest wait for the journal before the lease is renewed again.
 RECORD_WAIT_S = 0.25
-# Shortest time between two reports from which a rate is taken.
+# Shortest time between two reports of progress from which a speed is
+# computed.
 MIN_MEASURED_MS = 150.0
 WHOLE_PERCENT = 100.0
 STOP_PAUSE_S = 0.1
-# The journal's tail is read a few times a second.
+# New job records, which a deferred end waits for, are read a few times per
+# second.
 DEFERRED_PAUSE_S = 0.1
-# A worker does not start anew and end a task in so short a time; a record
-# usually takes less.
+# An acknowledgement is sent only within this time of the worker's last
+# answer. A worker cannot restart and end a task within it, while writing the
+# record of an end usually takes less.
 MAX_ANSWER_AGE_MS = 150.0
 
 LOG = logs.get_logger("worker")
 
 
 class LeaseTimes:
-    """Times that the platform sets for leases.
+    """Durations of leases, in milliseconds.
 
     Attributes:
-        lease_ms: Length of the leases that are asked for.
-        longest_ms: Longest lease that a worker grants.
+        lease_ms: Length of the leases that the scheduler requests.
+        max_lease_ms: Longest lease that a worker grants.
     """
 
-    # Share of the longest lease: a restart of all processes fits in it,
-    # and a dead worker's tasks start again soon.
+    # Requested share of the longest lease. All processes can restart within
+    # such a lease, and the tasks of a dead worker are soon started again.
     SHARE = 0.6
 
     def __init__(self, *, max_lease_ms):
@@ -53,22 +58,31 @@
 
 
 class WorkerLink:
-    """The task of one worker under one term.
+    """Connection of one term's scheduler to one worker.
+
+    Renews the lease of the worker in a loop. Each answer holds the inventory
+    of the worker: its running tasks and its unacknowledged ends.
 
     Args:
         worker: State of the worker.
-        calls: Client of the worker.
-        lease: Times of leases.
-        events: Object whose methods are called with what happens:
-            ``ended(worker, end, run)``, ``unexpected(worker, row)``,
-            ``vanished(worker, run, kind)``, ``silent(worker)``,
-            ``answering(worker)``, ``changed()``, ``fenced(worker)``.
-        journal: Writer whose ``durable_batch`` tells what is recorded.
+        client: Client of the worker.
+        lease: Durations of leases.
+        events: Handler of what the link observes, with the methods
+            ``on_end(worker, end, run)``,
+            ``on_unexpected_run(worker, row)``,
+            ``on_run_gone(worker, run, reason)``, ``on_silent(worker)``,
+            ``on_answering(worker)``, ``on_capacity_changed()``,
+            ``on_fenced(worker)``, ``expected_ms(run)`` and
+            ``spawn(coroutine)``.
+        journal: Writer of progress, whose ``durable_batch`` is the number of
+            the newest batch of records that is durable.
 
     Attributes:
-        closed: Whether the link does nothing any more.
-        deferred: Whether a listed end could not be handled yet.
-        confirmed: Highest acknowledgement that the worker has answered.
+        closed: Whether the link sends no more renewals and stops.
+        ends_deferred: Whether an end of the last inventory could not be
+            handled yet.
+        confirmed_number: Highest number of an end whose acknowledgement the
+            worker has answered.
     """
 
     def __init__(self, *, worker, client, lease, events, journal):
@@ -82,7 +96,7 @@
         self.confirmed_number = 0
 
     async def run(self):
-        """Renews the lease until the link is closed."""
+        """Renews the lease repeatedly until the link is closed."""
         while not self.closed:
             self.acknowledge_recorded()
             silent = self.worker.silent_since_ms is not None
@@ -98,7 +112,7 @@
                 await asyncio.sleep(DEFERRED_PAUSE_S)
 
     async def wait_for_journal(self):
-        """Waits until ends are recorded, for a bounded time."""
+        """Waits until all handled ends are recorded or a time limit ends."""
         try:
             async with asyncio.timeout(RECORD_WAIT_S):
                 while not self.acknowledge_recorded():
@@ -107,7 +121,7 @@
             return
 
     def acknowledge_recorded(self):
-        """Advances over the ends that are recorded.
+        """Marks the ends whose records are durable for acknowledgement.
 
         Returns:
             Whether all handled ends are recorded.
@@ -119,14 +133,23 @@
         return not worker.unrecorded
 
     async def renew(self, *, wait):
-        """Renews the lease once and takes the inventory."""
+        """Sends one renewal and applies the inventory in its answer.
+
+        Args:
+            wait: Whether to extend the lease and let the worker hold the
+                call until a task ends; false only asks for the inventory.
+
+        Raises:
+            TargetUnreachable: The worker has not answered, or has refused
+                the renewal for another reason than its fence.
+        """
         worker = self.worker
         sent_ms = clock.monotonic_ms()
         wait_ms = 0
         deadline_ms = None
         born_ms = worker.born_ms
-        # A silent worker's lease is not extended: calls that are lost on
-        # the way back must not move the time at which it has lapsed.
+        # The lease of a silent worker is not extended: a renewal whose answer
+        # is lost must not postpone the time by which the lease has lapsed.
         if wait and worker.clock.seen_ms is not None:
             wait_ms = 0 if worker.unrecorded else RENEW_WAIT_MS
             deadline_ms = worker.lease_until(self.lease.lease_ms, sent_ms)
@@ -145,11 +168,12 @@
             self.confirmed_number = max(self.confirmed_number, acknowledged)
 
     def acknowledgement_to_send(self, now_ms):
-        """Returns the number up to which ends may be forgotten, 0 for none.
+        """Returns the number up to which ends are acknowledged, 0 for none.
 
-        A renewal that a later life carries out must not acknowledge ends of
-        that life. So a number is sent only until it is answered, and soon
-        after an answer of the life that it counts in.
+        Ends are numbered per incarnation of the worker, and a renewal may
+        reach a later incarnation, whose ends it must not acknowledge. So a
+        number is sent only until it is answered, and only shortly after an
+        answer of the incarnation that it belongs to.
         """
         worker = self.worker
         if worker.acknowledged <= self.confirmed_number:
@@ -159,22 +183,27 @@
         return worker.acknowledged
 
     def on_renewal_refused(self, result):
-        """Handles a renewal that was refused."""
+        """Handles a renewal that the worker has refused.
+
+        Raises:
+            TargetUnreachable: The reason is not the fence of a later term.
+        """
         if result is Result.FENCED:
             self.events.on_fenced(self.worker)
             self.closed = True
             return
         raise exception.TargetUnreachable(
-            message=f"The renewal was refused: {result.value}.", sent=False
+            message=f"The worker refused the renewal: {result.value}.",
+            sent=False,
         )
 
     def on_no_answer(self, error):
-        """Handles a renewal without an answer."""
+        """Handles a renewal without an answer, and the lapse of leases."""
         worker = self.worker
         now_ms = clock.monotonic_ms()
         if worker.silent_since_ms is None:
             LOG.warning(
-                "No answer: %s",
+                "A worker does not answer; its lease is not extended: %s",
                 error,
                 fields={"worker": worker.report.id, "runs": len(worker.runs)},
             )
@@ -183,21 +212,28 @@
         if now_ms >= worker.lapse_at_ms and not worker.lapsed:
             worker.lapsed = True
             LOG.warning(
-                "The worker's leases have lapsed.",
+                "The leases of a silent worker have lapsed; its tasks can be "
+                "started elsewhere.",
                 fields={"worker": worker.report.id, "runs": len(worker.runs)},
             )
             for run in list(worker.runs.values()):
-                self.events.on_run_gone(worker, run, "lapsed")
+                self.events.on_run_gone(worker, run, "its lease has lapsed")
             self.events.on_capacity_changed()
 
     def on_inventory(self, found, sent_ms):
-        """Takes the lists of a worker."""
+        """Applies an inventory of the worker.
+
+        Args:
+            found: The inventory.
+            sent_ms: Monotonic time, in milliseconds, at which it was
+                requested.
+        """
         worker = self.worker
         now_ms = clock.monotonic_ms()
         if worker.silent_since_ms is not None:
             silent_ms = now_ms - worker.silent_since_ms
             LOG.info(
-                "The worker answers again.",
+                "A worker answers again.",
                 fields={"worker": worker.report.id, "silent_ms": silent_ms},
             )
         ended = {(end.name, end.attempt) for end in found.ends}
@@ -216,16 +252,17 @@
         self.events.on_capacity_changed()
 
     def on_new_incarnation(self, found, listed, sent_ms):
-        """Handles that the worker has started anew.
+        """Handles that the worker has restarted.
 
         Args:
-            found: First inventory of the new life.
-            listed: Names and attempts in it.
-            sent_ms: Monotonic time at which it was asked for.
+            found: First inventory of the new incarnation.
+            listed: Task names and attempts in the inventory.
+            sent_ms: Monotonic time, in milliseconds, at which the inventory
+                was requested.
         """
         worker = self.worker
         LOG.warning(
-            "The worker has started anew.",
+            "A worker has restarted.",
             fields={"worker": worker.report.id, "born_ms": found.born_ms},
         )
         worker.reset_counts()
@@ -237,22 +274,25 @@
         for run in list(worker.runs.values()):
             answered = run.answered_ms is not None
             if run.key in listed or (answered and run.answered_ms >= sent_ms):
-                # It may be of the new life; the next inventory tells.
+                # The new incarnation may run it; the next inventory tells.
                 continue
-            # A late order could still be carried out in the new life, which
-            # knows nothing of stops that the old one has answered.
+            # A late start command may still reach the new incarnation, which
+            # does not know of stops that the old one has answered.
             if run.uncertain or run.state is State.STARTING:
                 run.state = State.DOUBTFUL
                 run.stopped_ms = None
                 self.schedule_stop(run)
             else:
-                self.events.on_run_gone(worker, run, "reborn")
+                self.events.on_run_gone(
+                    worker, run, "its worker has restarted"
+                )
 
     def apply_end(self, end):
-        """Handles an end once.
+        """Applies an end of an inventory, unless it was applied before.
 
         Returns:
-            Whether it is handled; if not, it and later ones come again.
+            Whether the end has been applied. If not, the next inventory
+            lists it and all later ones again.
         """
         worker = self.worker
         if end.number <= worker.seen:
@@ -270,7 +310,12 @@
         return True
 
     def apply_progress(self, rows, now_ms):
-        """Takes the progress of the running tasks."""
+        """Applies the progress of the running tasks of an inventory.
+
+        Args:
+            rows: Running tasks.
+            now_ms: Monotonic time, in milliseconds.
+        """
         for row in rows:
             run = self.worker.runs.get((row.name, row.attempt))
             if run is None:
@@ -290,7 +335,16 @@
                 run.task.save_checkpoint(row.checkpoint, row.percent)
 
     def measure_speed(self, run, row, now_ms):
-        """Takes the rate of a run's progress as one of its worker's."""
+        """Adds the speed of a run attempt to the measurements of its worker.
+
+        The speed is the progress since the last measurement, divided by the
+        progress expected in that time.
+
+        Args:
+            run: The run attempt.
+            row: Its entry in the inventory.
+            now_ms: Monotonic time, in milliseconds.
+        """
         before_ms, before = run.rated_ms, run.percent
         if before_ms is not None and now_ms - before_ms < MIN_MEASURED_MS:
             return
@@ -298,14 +352,24 @@
         if before_ms is None or row.percent >= WHOLE_PERCENT:
             return
         expected_ms = self.events.expected_ms(run)
-        # Members of a gang wait for each other, which says nothing.
+        # Members of a gang wait for each other, so their progress does not
+        # show the speed of the worker.
         if expected_ms is not None and not run.task.step.spec.gang:
             gained = (row.percent - before) / WHOLE_PERCENT
             rate = gained * expected_ms / (now_ms - before_ms)
             self.worker.meter.observe(run.name.job, rate, now_ms)
 
     def remove_missing(self, listed, sent_ms):
-        """Drops runs that the worker had before this call and has not now."""
+        """Removes the run attempts that the worker no longer lists.
+
+        Only those are removed whose start or stop the worker had answered
+        before the inventory was requested.
+
+        Args:
+            listed: Task names and attempts in the inventory.
+            sent_ms: Monotonic time, in milliseconds, at which the inventory
+                was requested.
+        """
         for run in list(self.worker.runs.values()):
             if run.key in listed:
                 continue
@@ -316,13 +380,19 @@
                 and run.answered_ms is not None
                 and run.answered_ms < sent_ms
             ):
-                self.events.on_run_gone(self.worker, run, "missing")
+                self.events.on_run_gone(
+                    self.worker, run, "its worker no longer lists it"
+                )
 
     async def start(self, run, command):
-        """Orders a run and notes what became of the order.
+        """Sends a start command and applies its result.
+
+        Args:
+            run: Run attempt to start.
+            command: Start command.
 
         Returns:
-            Result of the order; None if it was not answered.
+            Result of the command; None if it was not answered.
         """
         try:
             result = await self.client.start(
@@ -330,7 +400,7 @@
             )
         except exception.TargetUnreachable as error:
             LOG.warning(
-                "A start was not answered: %s",
+                "A start command was not answered: %s",
                 error,
                 fields=runs.run_fields(run),
             )
@@ -345,7 +415,7 @@
                 self.schedule_stop(run)
             return result
         LOG.info(
-            "A start was refused: %s.",
+            "A start command was refused: %s.",
             result.value,
             fields=runs.run_fields(run),
         )
@@ -356,9 +426,18 @@
         return result
 
     def on_unconfirmed_start(self, run, error):
-        """Keeps the room of an order that may be carried out later."""
+        """Handles a start command without an answer.
+
+        If the command was sent, the worker may still carry it out, so the
+        resources stay reserved and the run attempt is stopped. Otherwise the
+        run attempt is removed.
+
+        Args:
+            run: Run attempt of the command.
+            error: Why there is no answer.
+        """
         if not error.sent and run.state is State.STARTING:
-            self.events.on_run_gone(self.worker, run, "unreachable")
+            self.events.on_run_gone(self.worker, run, "start command not sent")
             return
         if run.state is State.STARTING:
             run.state = State.DOUBTFUL
@@ -366,7 +445,7 @@
             self.schedule_stop(run)
 
     def schedule_stop(self, run):
-        """Stops a run in a task of its own."""
+        """Starts a task that stops a run attempt, unless one is running."""
         run.stop_wanted = True
         if run.stopping:
             return
@@ -374,7 +453,7 @@
         self.events.spawn(self.stop(run))
 
     async def stop(self, run):
-        """Sends a stop until it is answered or the run is gone."""
+        """Sends stop commands until one is answered or the run is removed."""
         try:
             while run.key in self.worker.runs and not self.closed:
                 if await self.send_stop(run):
@@ -384,16 +463,21 @@
             run.stopping = False
 
     async def send_stop(self, run):
-        """Sends a stop and returns whether it is settled."""
+        """Sends one stop command.
+
+        Returns:
+            Whether no further stop command is needed.
+        """
         if run.state is State.STARTING:
-            # The start's answer comes first, or makes the run doubtful.
+            # The start command is still in flight; once it is answered or
+            # has timed out, the state changes.
             return False
         try:
             result = await self.client.stop(
                 run.name, run.attempt, timeout_s=COMMAND_TIMEOUT_S
             )
         except exception.TargetUnreachable as error:
-            LOG.debug("A stop was not answered: %s", error)
+            LOG.debug("A stop command was not answered: %s", error)
             return False
         if result is Result.FENCED:
             self.events.on_fenced(self.worker)
