--- a/packages/cicadafold/src/cicadafold/dispatch/inherited_runs.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/inherited_runs.py
@@ -158,7 +158,7 @@
             pool: Name of the pool.
             now_ms: Monotonic time, in milliseconds.
         """
-        outage_ms = now_ms - self.store.failed_ms
+        outage_ms = now_ms - self.store.last_failed_ms
         if outage_ms < REGISTRY_RECOVERY_MS and not self.has_record:
             return True
         return any(
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
@@ -15,7 +15,7 @@
 from cicadafold.jobs import model
 from cicadafold.jobs import runtime_state
 from cicadafold.journal import records
-from cicadafold.platform import worker_calls
+from cicadafold.platform import worker_client
 
 State = runs.RunState
 
@@ -31,7 +31,7 @@
     """
 
     def __init__(self):
-        self.inventory = worker_calls.Inventory(1000, 1, [], [])
+        self.inventory = worker_client.Inventory(1000, 1, [], [])
         self.deadlines = []
         self.acknowledged = []
         self.silent = False
@@ -159,7 +159,7 @@
     end = model.EndReport(
         1, job.steps[0][0].tasks[0].name, 1, model.EndKind.DONE, ""
     )
-    link.client.inventory = worker_calls.Inventory(1000, 1, [], [end])
+    link.client.inventory = worker_client.Inventory(1000, 1, [], [end])
     asyncio.run(link.renew(wait=True))
     asyncio.run(link.renew(wait=True))
     assert link.events.ends == [1]
@@ -176,7 +176,7 @@
     unconfirmed = add_run(link, job, State.DOUBTFUL)
     unconfirmed.uncertain = True
     running = add_run(link, job, State.RUNNING, 1)
-    link.client.inventory = worker_calls.Inventory(5, 2, [], [])
+    link.client.inventory = worker_client.Inventory(5, 2, [], [])
     asyncio.run(link.renew(wait=True))
     assert link.events.gone == [(running, "its worker has restarted")]
     assert unconfirmed.key in link.worker.runs
@@ -196,7 +196,7 @@
     gone = add_run(link, job, State.STOPPING, 1)
     gone.uncertain = True
     link.worker.remove(gone)
-    link.client.inventory = worker_calls.Inventory(5, 2, [], [])
+    link.client.inventory = worker_client.Inventory(5, 2, [], [])
     asyncio.run(link.renew(wait=True))
     assert link.events.gone == []
     states = {run.state for run in link.worker.runs.values()}
@@ -296,7 +296,7 @@
     first, second = job.steps[0][0].tasks
     inherited = inherited_runs.InheritedRuns(
         workers={"w": link.worker},
-        store=types.SimpleNamespace(failed_ms=-1e12),
+        store=types.SimpleNamespace(last_failed_ms=-1e12),
         term_started_ms=now_ms,
         lease_ms=6000.0,
     )
@@ -325,7 +325,7 @@
     now_ms = clock.monotonic_ms()
     inherited = inherited_runs.InheritedRuns(
         workers={"w": link.worker},
-        store=types.SimpleNamespace(failed_ms=-1e12),
+        store=types.SimpleNamespace(last_failed_ms=-1e12),
         term_started_ms=now_ms,
         lease_ms=6000.0,
     )
@@ -339,7 +339,7 @@
     """Neither this term nor the last record knows its tasks."""
     inherited = inherited_runs.InheritedRuns(
         workers={"w": link.worker},
-        store=types.SimpleNamespace(failed_ms=-1e12),
+        store=types.SimpleNamespace(last_failed_ms=-1e12),
         term_started_ms=clock.monotonic_ms(),
         lease_ms=6000.0,
     )
@@ -354,7 +354,7 @@
         model.EndReport(number, name, number, model.EndKind.DONE, "")
         for number in (1, 2, 3)
     ]
-    link.client.inventory = worker_calls.Inventory(1000, 1, [], found)
+    link.client.inventory = worker_client.Inventory(1000, 1, [], found)
     link.events.deferred = {2}
     asyncio.run(link.renew(wait=False))
     assert link.events.ends == [1]
@@ -387,7 +387,7 @@
     """The worker may have restarted and ended other tasks in between."""
     asyncio.run(link.renew(wait=True))
     link.worker.acknowledged = 5
-    link.worker.clock.seen_ms -= 1000.0
+    link.worker.clock.updated_ms -= 1000.0
     for _ in range(2):
         asyncio.run(link.renew(wait=True))
     assert link.client.acknowledged == [0, 0, 5]
@@ -406,7 +406,7 @@
     sent_ms = clock.monotonic_ms()
     run.answered_ms = sent_ms + answered_ms
     rows = [model.RunReport(run.name, 1, "", 10.0, 0.0)] if listed else []
-    link.on_inventory(worker_calls.Inventory(1000, 2, rows, []), sent_ms)
+    link.on_inventory(worker_client.Inventory(1000, 2, rows, []), sent_ms)
     assert (run.key in link.worker.runs) is kept
     assert link.events.gone == (
         [] if kept else [(run, "its worker has restarted")]
--- a/packages/cicadafold/src/cicadafold/election/candidate.py
+++ b/packages/cicadafold/src/cicadafold/election/candidate.py
@@ -171,7 +171,7 @@
             generation=self.generation,
         )
         self.generation = found.generation
-        is_successor = (TOPIC, SUCCESSOR_PARTITION) in found.held
+        is_successor = (TOPIC, SUCCESSOR_PARTITION) in found.assigned
         if is_successor != self.is_successor:
             LOG.info(
                 "The group names this process the next scheduler."
@@ -200,7 +200,7 @@
         health = await self.health(timeout_s=HEALTH_TIMEOUT_S)
         if health is messages.Health.DEGRADED:
             # After an outage the scheduler needs a moment, as we did.
-            served_ms = clock.monotonic_ms() - self.store.failed_ms
+            served_ms = clock.monotonic_ms() - self.store.last_failed_ms
             return served_ms < UNWELL_GRACE_MS
         return health is messages.Health.HEALTHY
 
