--- a/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
@@ -268,7 +268,7 @@
         """
         worker.remove(run)
         LOG.info(
-            "A run attempt no longer exists: %s.",
+            "A run attempt no longer exists, reason: %s.",
             reason,
             fields=runs.run_fields(run),
         )
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -217,7 +217,7 @@
                 fields={"worker": worker.report.id, "runs": len(worker.runs)},
             )
             for run in list(worker.runs.values()):
-                self.events.on_run_gone(worker, run, "its lease has lapsed")
+                self.events.on_run_gone(worker, run, "lapsed")
             self.events.on_capacity_changed()
 
     def on_inventory(self, found, sent_ms):
@@ -283,9 +283,7 @@
                 run.stopped_ms = None
                 self.schedule_stop(run)
             else:
-                self.events.on_run_gone(
-                    worker, run, "its worker has restarted"
-                )
+                self.events.on_run_gone(worker, run, "worker restarted")
 
     def apply_end(self, end):
         """Applies an end of an inventory, unless it was applied before.
@@ -380,9 +378,7 @@
                 and run.answered_ms is not None
                 and run.answered_ms < sent_ms
             ):
-                self.events.on_run_gone(
-                    self.worker, run, "its worker no longer lists it"
-                )
+                self.events.on_run_gone(self.worker, run, "not listed")
 
     async def start(self, run, command):
         """Sends a start command and applies its result.
@@ -437,7 +433,7 @@
             error: Why there is no answer.
         """
         if not error.sent and run.state is State.STARTING:
-            self.events.on_run_gone(self.worker, run, "start command not sent")
+            self.events.on_run_gone(self.worker, run, "unreachable")
             return
         if run.state is State.STARTING:
             run.state = State.DOUBTFUL
