--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/mutants.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/mutants.py
@@ -42,7 +42,7 @@
 @mutant
 def unknown_work_is_stopped():
     """Takes work of a job that is not read yet for work of no job."""
-    job_table.JobTable.unknown = lambda self, name: False
+    job_table.JobTable.is_unknown = lambda self, name: False
 
 
 @mutant
@@ -56,7 +56,9 @@
 @mutant
 def workers_are_used_unrecorded():
     """Starts tasks on workers that are recorded as given no new ones."""
-    runs.Worker.closed = property(lambda self: False, lambda self, _: None)
+    runs.Worker.closed_to_starts = property(
+        lambda self: False, lambda self, _: None
+    )
 
 
 @mutant
@@ -93,10 +95,10 @@
 def leases_are_not_waited_for():
     """Starts the tasks of a silent worker elsewhere at once."""
 
-    def silent(self, now_ms, longest_ms):
+    def mark_silent(self, now_ms, longest_ms):
         self.silent_since_ms = self.lapse_at_ms = now_ms
 
-    runs.Worker.silent = silent
+    runs.Worker.mark_silent = mark_silent
 
 
 @mutant
--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -114,10 +114,10 @@
         self.advice = advice_calls.AdviceCalls(
             session=self.peer_session, address=settings.advice_address
         )
-        self.own_line = advising.AdviceLine(
+        self.own_line = advising.PeerHandle(
             member=self.member,
             ask=self.advice.advise,
-            strength=settings.strength,
+            election_priority=settings.strength,
         )
         self.door = door.JobDoor(
             writer=self.writer,
@@ -229,10 +229,10 @@
         strong = hello.strength >= campaign.STRONG
         self.roster.add([hello.address], [hello.address] if strong else ())
         calls = peer_calls.PeerCalls(peer=peer)
-        self.peers[peer] = advising.AdviceLine(
+        self.peers[peer] = advising.PeerHandle(
             member=hello.member,
             ask=calls.advise,
-            strength=hello.strength,
+            election_priority=hello.strength,
             store_age_ms=calls.store_age_ms,
             take_over=calls.take_over,
         )
--- a/packages/cicadafold/src/cicadafold/dispatch/advising.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/advising.py
@@ -13,14 +13,14 @@
 from cicadafold import exception
 from cicadafold.telemetry import logs
 
-__all__ = ["AdviceDesk", "AdviceLine", "AdviceWanted"]
+__all__ = ["AdviceDispatcher", "PeerHandle", "AdviceRequest"]
 
 # Calls up to this duration count as short.
-SHORT_MS = 80.0
+MAX_SHORT_CALL_MS = 80.0
 # One host in this many takes short calls only.
-SHORT_SHARE = 4
+PEERS_PER_SHORT_ONLY_PEER = 4
 # A second short call is on its way while the first is answered.
-SHORT_DEPTH = 2
+SHORT_CALLS_PER_PEER = 2
 ANSWER_SLACK_MS = 900.0
 # A ticket has to reach its worker before it expires.
 TICKET_MARGIN_MS = 120.0
@@ -29,7 +29,7 @@
 LOG = logs.get_logger("advice")
 
 
-class AdviceWanted(msgspec.Struct):
+class AdviceRequest(msgspec.Struct):
     """A call for advice that a step needs.
 
     Attributes:
@@ -47,10 +47,10 @@
     @property
     def short(self):
         """Whether the call is a short one."""
-        return self.cost_ms <= SHORT_MS
+        return self.cost_ms <= MAX_SHORT_CALL_MS
 
 
-class AdviceLine:
+class PeerHandle:
     """One host that can ask the advice service.
 
     Args:
@@ -67,20 +67,20 @@
         *,
         member,
         ask,
-        strength,
+        election_priority,
         store_age_ms=None,
         take_over=None,
     ):
         self.member = member
         self.ask = ask
-        self.strength = strength
+        self.election_priority = election_priority
         self.store_age_ms = store_age_ms
         self.take_over = take_over
         self.busy = 0
         self.paused_until_ms = 0.0
 
 
-class AdviceDesk:
+class AdviceDispatcher:
     """Sends wanted calls to free lines, in order of rank.
 
     Args:
@@ -91,56 +91,58 @@
         metrics: Where calls are counted.
     """
 
-    def __init__(self, *, lines, spawn, wake, learn, metrics):
-        self.lines = lines
+    def __init__(self, *, peers, spawn, wake, record_permitted_share, metrics):
+        self.peers = peers
         self.spawn = spawn
         self.wake = wake
-        self.learn = learn
+        self.record_permitted_share = record_permitted_share
         self.metrics = metrics
-        self.wanted = []
+        self.queued = []
 
-    def replace(self, wanted):
+    def replace_queue(self, queued):
         """Takes what is wanted now and sends what can be sent."""
-        self.wanted = sorted(wanted, key=lambda item: item.rank)
-        self.pump()
+        self.queued = sorted(queued, key=lambda item: item.rank)
+        self.dispatch_queued()
 
-    def pump(self):
+    def dispatch_queued(self):
         """Sends calls to the lines that are free."""
-        if not self.wanted:
+        if not self.queued:
             return
         now_ms = clock.monotonic_ms()
-        lines = [x for x in self.lines() if now_ms >= x.paused_until_ms]
-        short_only = len(lines) // SHORT_SHARE if len(lines) > 1 else 0
-        short_only = max(short_only, int(len(lines) > 1))
-        kept = collections.deque()
-        for item in self.wanted:
-            line = self.free_line(item, lines, short_only)
-            if line is None:
-                kept.append(item)
+        peers = [x for x in self.peers() if now_ms >= x.paused_until_ms]
+        short_only = (
+            len(peers) // PEERS_PER_SHORT_ONLY_PEER if len(peers) > 1 else 0
+        )
+        short_only = max(short_only, int(len(peers) > 1))
+        still_queued = collections.deque()
+        for item in self.queued:
+            peer = self.free_peer(item, peers, short_only)
+            if peer is None:
+                still_queued.append(item)
                 continue
-            line.busy += 1
+            peer.busy += 1
             item.step.asking = True
-            self.spawn(self.ask(line, item))
-        self.wanted = list(kept)
+            self.spawn(self.ask(peer, item))
+        self.queued = list(still_queued)
 
-    def free_line(self, item, lines, short_only):
+    def free_peer(self, item, peers, short_only):
         """Returns a line that may take a call now, or None."""
         if item.short:
-            for line in lines[:short_only]:
-                if line.busy < SHORT_DEPTH:
-                    return line
-        for line in lines[short_only:]:
-            if line.busy == 0:
-                return line
+            for peer in peers[:short_only]:
+                if peer.busy < SHORT_CALLS_PER_PEER:
+                    return peer
+        for peer in peers[short_only:]:
+            if peer.busy == 0:
+                return peer
         return None
 
-    async def ask(self, line, item):
+    async def ask(self, peer, item):
         """Makes one call and notes its tickets."""
         step = item.step
         step.asked_ms = clock.monotonic_ms()
         valid_ms = step.job.rule.advice.valid_ms
         try:
-            granted = await line.ask(
+            granted = await peer.ask(
                 step.job.spec.id,
                 step.occurrence,
                 step.number,
@@ -155,25 +157,25 @@
             LOG.warning(
                 "Advice was not given: %s",
                 error,
-                fields={"request_id": step.job.spec.id, "line": line.member},
+                fields={"request_id": step.job.spec.id, "line": peer.member},
             )
             self.metrics.count("advice_failures")
-            line.paused_until_ms = clock.monotonic_ms() + RETRY_PAUSE_MS
+            peer.paused_until_ms = clock.monotonic_ms() + RETRY_PAUSE_MS
         else:
-            self.note(step, item, granted, valid_ms)
+            self.record_tickets(step, item, granted, valid_ms)
         finally:
-            line.busy -= 1
+            peer.busy -= 1
             step.asking = False
-        self.pump()
+        self.dispatch_queued()
         self.wake()
 
-    def note(self, step, item, granted, valid_ms):
+    def record_tickets(self, step, item, granted, valid_ms):
         """Notes the tickets of a step."""
         self.metrics.count("advice_calls")
         until_ms = clock.monotonic_ms() + valid_ms - TICKET_MARGIN_MS
         if step.allowed is None:
             step.allowed = {}
-            self.learn(step, len(item.workers), len(granted))
+            self.record_permitted_share(step, len(item.workers), len(granted))
         for worker in item.workers:
             step.allowed[worker] = worker in granted
         for worker, ticket in granted.items():
--- a/packages/cicadafold/src/cicadafold/dispatch/ends.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/ends.py
@@ -41,7 +41,7 @@
         self,
         *,
         table,
-        learned,
+        durations,
         group,
         wake,
         step_down,
@@ -50,7 +50,7 @@
         metrics,
     ):
         self.table = table
-        self.learned = learned
+        self.durations = durations
         self.group = group
         self.wake = wake
         self.step_down = step_down
@@ -68,7 +68,7 @@
         task = run.task
         if task is None or task.step.spec.lasting or task.step.spec.fills:
             return None
-        return self.learned.step_ms(task.step)
+        return self.durations.step_task_duration_ms(task.step)
 
     def changed(self):
         """Notes that room may have become free."""
@@ -100,7 +100,7 @@
             None if the end has to be handled later.
         """
         key = (end.name, end.attempt)
-        if self.table.unknown(end.name) and self.unknown.waits(key):
+        if self.table.is_unknown(end.name) and self.unknown.waits(key):
             return None
         self.metrics.count("runs_ended", kind=end.kind.value)
         task = None if end.name is None else self.table.find(end.name)
@@ -150,13 +150,15 @@
 
     def done(self, worker, task, run):
         """Applies a success."""
-        worker.faults = 0
-        worker.faulty_jobs = frozenset()
+        worker.quarantines_in_a_row = 0
+        worker.failed_jobs = frozenset()
         if run is not None and not task.done:
             ran_ms = clock.monotonic_ms() - run.started_ms
             if not task.checkpoint:
-                self.learned.learn(task.step.job.spec.queue, ran_ms)
-        return self.table.task_done(task)
+                self.durations.record_duration(
+                    task.step.job.spec.queue, ran_ms
+                )
+        return self.table.complete_task(task)
 
     def failed(self, worker, task, end):
         """Applies a failure, and judges the worker by it."""
@@ -168,21 +170,22 @@
             return 0
         if task.step.spec.gang:
             self.restart_gang(task.step, end.attempt)
-        return self.table.task_failed(task, end.attempt)
+        return self.table.record_task_failure(task, end.attempt)
 
     def judge(self, worker, job):
         """Keeps new runs from a worker on which many jobs fail."""
-        worker.faulty_jobs = worker.faulty_jobs | {job}
+        worker.failed_jobs = worker.failed_jobs | {job}
         # After a pause, one failure without a success is enough.
-        bound = 1 if worker.faults else FAULTY_JOBS
-        if len(worker.faulty_jobs) < bound:
+        bound = 1 if worker.quarantines_in_a_row else FAULTY_JOBS
+        if len(worker.failed_jobs) < bound:
             return
-        worker.faults += 1
+        worker.quarantines_in_a_row += 1
         pause_ms = min(
-            LONGEST_QUARANTINE_MS, QUARANTINE_MS * 2 ** (worker.faults - 1)
+            LONGEST_QUARANTINE_MS,
+            QUARANTINE_MS * 2 ** (worker.quarantines_in_a_row - 1),
         )
         worker.quarantined_until_ms = clock.monotonic_ms() + pause_ms
-        worker.faulty_jobs = frozenset()
+        worker.failed_jobs = frozenset()
         LOG.warning(
             "A worker gets no new runs for a while.",
             fields={"worker": worker.report.id, "pause_ms": pause_ms},
@@ -206,7 +209,7 @@
         LOG.info(
             "A run is gone: %s.",
             reason,
-            fields=runs.run_fields(run),
+            fields=runs.run_log_fields(run),
         )
         task = run.task
         if task is None or task.done:
@@ -225,7 +228,7 @@
         job = self.table.jobs.get(row.name.job)
         room = job_room(job, row.name, worker)
         now_ms = clock.monotonic_ms()
-        run = runs.Run(
+        run = runs.RunAttempt(
             task=task,
             name=row.name,
             attempt=row.attempt,
@@ -236,7 +239,7 @@
         )
         run.answered_ms = now_ms
         run.percent = row.percent
-        if self.table.unknown(row.name):
+        if self.table.is_unknown(row.name):
             self.keep_unknown(worker, run, row)
             return
         keep = (
@@ -288,7 +291,7 @@
         for run in self.unknown.take_settled():
             LOG.warning(
                 "A run of an unknown job is stopped.",
-                fields=runs.run_fields(run),
+                fields=runs.run_log_fields(run),
             )
             self.stop_run(run)
 
--- a/packages/cicadafold/src/cicadafold/dispatch/handover.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/handover.py
@@ -77,16 +77,18 @@
             for line, age_ms in zip(lines, ages)
             if age_ms <= failing_ms - SERVED_MARGIN_MS
         ]
-        return max(served, key=lambda line: line.strength, default=None)
+        return max(
+            served, key=lambda line: line.election_priority, default=None
+        )
 
     async def find_stronger(self):
         """Returns the line of a much stronger peer, or None."""
         age_ms = clock.monotonic_ms() - self.begun_ms
         least = self.strength * STRONGER_FACTOR
-        lines = [x for x in self.lines() if x.strength >= least]
+        lines = [x for x in self.lines() if x.election_priority >= least]
         if not lines or age_ms < CALM_MS:
             return None
-        line = max(lines, key=lambda line: line.strength)
+        line = max(lines, key=lambda line: line.election_priority)
         if await line.store_age_ms() > CALM_MS:
             return None
         return line
--- a/packages/cicadafold/src/cicadafold/dispatch/inheritance.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/inheritance.py
@@ -41,7 +41,7 @@
         self.workers = workers
         self.store = store
         self.over_ms = (
-            begun_ms + lease_ms * runs.SLOW_CLOCK + runs.LAPSE_MARGIN_MS
+            begun_ms + lease_ms * runs.SLOW_CLOCK_FACTOR + runs.LEASE_MARGIN_MS
         )
         self.begun_ms = begun_ms
         self.recorded = False
@@ -82,7 +82,8 @@
         """
         answers = worker.silent_since_ms is None
         if not worker.report.draining and (
-            answers or not (worker.closed or self.long_silent(worker))
+            answers
+            or not (worker.closed_to_starts or self.long_silent(worker))
         ):
             return None
         if worker.fenced:
--- a/packages/cicadafold/src/cicadafold/dispatch/job_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/job_table.py
@@ -28,9 +28,9 @@
         metrics: Where ended jobs are counted.
     """
 
-    def __init__(self, *, journal, learned, stop_run, metrics):
+    def __init__(self, *, journal, durations, stop_run, metrics):
         self.journal = journal
-        self.learned = learned
+        self.durations = durations
         self.stop_run = stop_run
         self.metrics = metrics
         self.jobs = {}
@@ -69,9 +69,11 @@
     def objective(self, job):
         """Returns the latency objective of a job in milliseconds."""
         rule = job.rule
-        chain = estimates.chain_ms(
+        chain = estimates.critical_path_ms(
             job.spec.steps,
-            lambda step: self.learned.task_ms(rule.name, step.estimate_ms),
+            lambda step: self.durations.task_duration_ms(
+                rule.name, step.estimate_ms
+            ),
         )
         advice_ms = 0.0
         if rule.advice is not None:
@@ -87,7 +89,7 @@
         if cancelled and not job.state.final:
             job.state = job.shown = State.CANCELLED
         if job.state.final:
-            self.retire(job)
+            self.deactivate(job)
             self.journal.change(job)
         return job
 
@@ -107,13 +109,13 @@
         job = self.jobs.get(name.job)
         return None if job is None else job.find(name)
 
-    def unknown(self, name):
+    def is_unknown(self, name):
         """Whether nothing is known of the job of a task."""
         if name is None:
             return False
         return name.job not in self.jobs and name.job not in self.ended
 
-    def pending(self, queue):
+    def count_unstarted(self, queue):
         """Returns how many jobs of a queue have not started."""
         return sum(
             1
@@ -125,23 +127,23 @@
         """Cancels a job and stops what runs of it."""
         if job.state.final:
             return
-        self.finish(job, State.CANCELLED, "its caller cancelled it")
+        self.end_job(job, State.CANCELLED, "its caller cancelled it")
         # The cancelling itself is recorded, so it may be shown at once.
         job.shown = State.CANCELLED
 
     def fail(self, job, reason):
         """Ends a job as failed."""
         if not job.state.final:
-            self.finish(job, State.FAILED, reason)
+            self.end_job(job, State.FAILED, reason)
 
-    def finish(self, job, state, reason):
+    def end_job(self, job, state, reason):
         """Sets a final state, stops all runs and records it."""
         now_ms = clock.monotonic_ms()
         for run in job.runs():
             self.stop_run(run)
         job.state = state
         self.journal.change(job)
-        self.retire(job)
+        self.deactivate(job)
         took_ms = now_ms - job.arrived_ms
         self.metrics.count("jobs_ended", state=state.value)
         LOG.info(
@@ -156,11 +158,11 @@
             },
         )
 
-    def retire(self, job):
+    def deactivate(self, job):
         """Takes a job out of the active ones."""
         self.active.pop(job.spec.id, None)
 
-    def task_done(self, task):
+    def complete_task(self, task):
         """Marks a task, or its whole gang, as done."""
         step = task.step
         members = step.tasks if step.spec.gang else (task,)
@@ -171,19 +173,19 @@
                     self.stop_run(run)
         job = step.job
         job.started = True
-        self.close_done(job, step.occurrence)
+        self.close_if_done(job, step.occurrence)
         return self.journal.change(job)
 
-    def close_done(self, job, occurrence):
+    def close_if_done(self, job, occurrence):
         """Closes an occurrence, and the job, when all is done."""
         steps = job.steps.get(occurrence)
         if steps is None or not all(step.done for step in steps):
             return
         job.close_occurrence(occurrence)
         if job.all_done and not job.state.final:
-            self.finish(job, State.COMPLETED, "all tasks are done")
+            self.end_job(job, State.COMPLETED, "all tasks are done")
 
-    def task_failed(self, task, attempt):
+    def record_task_failure(self, task, attempt):
         """Counts a failed run; too many end the job."""
         step = task.step
         job = step.job
--- a/packages/cicadafold/src/cicadafold/dispatch/pacing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/pacing.py
@@ -10,19 +10,19 @@
 __all__ = ["Pacer", "next_pace"]
 
 PERIOD_S = 0.5
-ORDER_TIMEOUT_S = 0.7
+COMMAND_TIMEOUT_S = 0.7
 # Shares of the target above which fills are slowed, below which they gain.
-HIGH_SHARE = 0.85
-LOW_SHARE = 0.6
-SLOWER = 0.5
-GAIN_PERCENT = 8
-WHOLE_PERCENT = 100
-LEAST_PERCENT = 4
+SLOW_DOWN_RATIO = 0.85
+SPEED_UP_RATIO = 0.6
+SLOW_DOWN_FACTOR = 0.5
+SPEED_UP_PERCENT = 8
+FULL_PERCENT = 100
+MIN_PERCENT = 4
 
 LOG = logs.get_logger("pacing")
 
 
-def next_pace(percent, tightest):
+def next_pace(percent, worst_ratio):
     """Returns the next pace of the fills on a worker.
 
     Args:
@@ -33,11 +33,11 @@
         >>> next_pace(100, 0.9), next_pace(4, 1.2), next_pace(50, 0.3)
         (50, 0, 58)
     """
-    if tightest > HIGH_SHARE:
-        slower = int(percent * SLOWER)
-        return slower if slower >= LEAST_PERCENT else 0
-    if tightest < LOW_SHARE:
-        return min(WHOLE_PERCENT, percent + GAIN_PERCENT)
+    if worst_ratio > SLOW_DOWN_RATIO:
+        slower = int(percent * SLOW_DOWN_FACTOR)
+        return slower if slower >= MIN_PERCENT else 0
+    if worst_ratio < SPEED_UP_RATIO:
+        return min(FULL_PERCENT, percent + SPEED_UP_PERCENT)
     return percent
 
 
@@ -63,7 +63,7 @@
 
     async def pace_worker(self, link, worker):
         """Paces the fills of one worker."""
-        fills, tightest = [], 0.0
+        fills, worst_ratio = [], 0.0
         for run in worker.runs.values():
             if run.task is None or run.state is not runs.RunState.RUNNING:
                 continue
@@ -71,17 +71,19 @@
             if spec.fills:
                 fills.append(run)
             elif spec.tail_target_ms:
-                tightest = max(tightest, run.reading / spec.tail_target_ms)
+                worst_ratio = max(
+                    worst_ratio, run.reading / spec.tail_target_ms
+                )
         for run in fills:
-            percent = next_pace(run.pace, tightest)
+            percent = next_pace(run.pace, worst_ratio)
             if percent != run.pace:
-                await self.order(link, run, percent, tightest)
+                await self.send_pace(link, run, percent, worst_ratio)
 
-    async def order(self, link, run, percent, tightest):
+    async def send_pace(self, link, run, percent, worst_ratio):
         """Orders one pace."""
         try:
             await link.calls.pace(
-                run.name, run.attempt, percent, timeout_s=ORDER_TIMEOUT_S
+                run.name, run.attempt, percent, timeout_s=COMMAND_TIMEOUT_S
             )
         except exception.TargetUnreachable as error:
             LOG.debug("A pace was not answered: %s", error)
@@ -93,7 +95,7 @@
                 "request_id": run.name.job,
                 "worker": run.worker.report.id,
                 "percent": percent,
-                "tightest": round(tightest, 2),
+                "tightest": round(worst_ratio, 2),
                 "age_ms": round(clock.monotonic_ms() - run.started_ms),
             },
         )
--- a/packages/cicadafold/src/cicadafold/dispatch/placing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/placing.py
@@ -10,8 +10,8 @@
 from cicadafold.scheduling import placement
 from cicadafold.scheduling import ranking
 from cicadafold.scheduling import reservation
-from cicadafold.scheduling import rooms
 from cicadafold.scheduling import speeds
+from cicadafold.scheduling import views
 from cicadafold.telemetry import logs
 
 __all__ = ["Placer"]
@@ -24,8 +24,8 @@
 ATTEMPTS_PER_TERM = 1_000_000
 MILLISECONDS = 1000.0
 # Gangs for which workers are kept at a time, and how far ahead.
-MAX_RESERVED = 3
-LONGEST_RESERVED_MS = 8000.0
+MAX_RESERVATIONS = 3
+MAX_RESERVATION_MS = 8000.0
 # Reservations are chosen anew this often.
 RESERVE_PERIOD_MS = 120.0
 # A task may use a reserved worker if it ends well before it is needed.
@@ -58,92 +58,96 @@
         *,
         term,
         table,
-        learned,
+        durations,
         workers,
         links,
-        settled,
-        steady,
+        all_runs_known,
+        commands_allowed,
         spawn,
         lease,
         metrics,
     ):
         self.term = term
         self.table = table
-        self.learned = learned
+        self.durations = durations
         self.workers = workers
         self.links = links
-        self.settled = settled
-        self.steady = steady
+        self.all_runs_known = all_runs_known
+        self.commands_allowed = commands_allowed
         self.spawn = spawn
         self.lease = lease
         self.metrics = metrics
-        self.desk = None
-        self.tickets = ticketing.TicketPlanner(workers=workers)
+        self.advice_dispatcher = None
+        self.ticket_planner = ticketing.TicketPlanner(workers=workers)
         self.reserved = {}
         self.reserved_at_ms = -RESERVE_PERIOD_MS
-        self.slow = set()
-        self.very_slow = set()
-        self.wanted = asyncio.Event()
+        self.slow_workers = set()
+        self.very_slow_workers = set()
+        self.pass_requested = asyncio.Event()
         self.rank = ranking.RANKINGS["slack"]
-        self.rate = placement.POLICIES["best-fit"]
+        self.score = placement.POLICIES["best-fit"]
 
     def wake(self):
         """Asks for a pass."""
-        self.wanted.set()
+        self.pass_requested.set()
 
     async def run(self):
         """Makes passes for as long as the term lasts."""
         while True:
             try:
                 async with asyncio.timeout(IDLE_PASS_S):
-                    await self.wanted.wait()
+                    await self.pass_requested.wait()
             except TimeoutError:
                 pass
-            self.wanted.clear()
-            if self.steady():
-                self.place()
+            self.pass_requested.clear()
+            if self.commands_allowed():
+                self.place_waiting_steps()
             await asyncio.sleep(PASS_PAUSE_S)
 
-    def place(self):
+    def place_waiting_steps(self):
         """Makes one pass over the waiting steps."""
         now_ms = clock.monotonic_ms()
         ranked = self.waiting_steps(now_ms)
         if not ranked:
             return
-        views = self.views(now_ms)
-        self.slow = self.slower_than(speeds.SLOW)
-        self.very_slow = self.slower_than(speeds.VERY_SLOW)
-        asks = []
+        pools = self.scheduling_views(now_ms)
+        self.slow_workers = self.workers_slower_than(speeds.SLOW_SPEED)
+        self.very_slow_workers = self.workers_slower_than(
+            speeds.VERY_SLOW_SPEED
+        )
+        requests = []
         unplaced = []
         for rank, step, tasks in ranked:
-            pool = views.get(step.job.rule.pool)
+            pool = pools.get(step.job.rule.pool)
             if not pool:
                 continue
             tickets = None
             if step.job.rule.advice is not None:
-                tickets = self.tickets.valid(step, now_ms)
-                ask = self.tickets.want(rank, step, tickets, pool, now_ms)
-                if ask is not None:
-                    asks.append(ask)
+                tickets = self.ticket_planner.valid_tickets(step, now_ms)
+                request = self.ticket_planner.next_request(
+                    rank, step, tickets, pool, now_ms
+                )
+                if request is not None:
+                    requests.append(request)
                 if not tickets:
                     continue
             placed = self.place_step(step, tasks, pool, tickets, now_ms)
             if not placed and step.spec.gang:
                 unplaced.append(step)
-        self.reserve(unplaced, views, now_ms)
-        if self.desk is not None:
-            self.desk.replace(asks)
+        self.reserve(unplaced, pools, now_ms)
+        if self.advice_dispatcher is not None:
+            self.advice_dispatcher.replace_queue(requests)
 
-    def reserve(self, gangs, views, now_ms):
+    def reserve(self, gangs, pools, now_ms):
         """Keeps workers for the first gangs that did not fit."""
         if now_ms - self.reserved_at_ms < RESERVE_PERIOD_MS:
             return
         self.reserved_at_ms = now_ms
         self.reserved = {}
-        for step in gangs[:MAX_RESERVED]:
-            pool = views[step.job.rule.pool]
+        for step in gangs[:MAX_RESERVATIONS]:
+            pool = pools[step.job.rule.pool]
             futures = [
-                reservation.FutureRoom(
+                reservation.FutureCapacity(
                     view, self.expected_ends(self.workers[name], now_ms)
                 )
                 for name, view in pool.items()
@@ -151,10 +155,10 @@
                 and (step.allowed is None or step.allowed.get(name))
             ]
             found = reservation.reserve(self.demand(step), futures)
-            if found is None or found.in_ms > LONGEST_RESERVED_MS:
+            if found is None or found.fits_in_ms > MAX_RESERVATION_MS:
                 continue
             for name in found.hosts:
-                self.reserved[name] = (now_ms + found.in_ms, step)
+                self.reserved[name] = (now_ms + found.fits_in_ms, step)
 
     def expected_ends(self, worker, now_ms):
         """Returns when the runs of a worker are expected to end."""
@@ -163,13 +167,13 @@
             task = run.task
             if task is None or task.step.spec.lasting:
                 continue
-            expected_ms = self.learned.step_ms(task.step)
+            expected_ms = self.durations.step_task_duration_ms(task.step)
             ran_ms = now_ms - run.started_ms
             left_ms = estimates.remaining_ms(expected_ms, ran_ms, run.percent)
             ends.append((left_ms, run.room))
         return ends
 
-    def kept_for_others(self, step, now_ms):
+    def reserved_for_others(self, step, now_ms):
         """Returns reserved workers that a step should or must not use.
 
         Returns:
@@ -177,7 +181,7 @@
         """
         last, never = set(), set()
         job = step.job
-        task_ms = self.learned.step_ms(step)
+        task_ms = self.durations.step_task_duration_ms(step)
         for name, (until_ms, gang) in self.reserved.items():
             if gang is step:
                 continue
@@ -191,7 +195,7 @@
         """Returns ranked steps with the tasks that wait."""
         ranked = []
         for job in self.table.active.values():
-            if job.inherited and not self.settled(job.rule.pool):
+            if job.inherited and not self.all_runs_known(job.rule.pool):
                 continue
             if job.spec.repeats:
                 job.open_occurrences(now_ms)
@@ -202,13 +206,13 @@
                     if step.done or not step.open(now_ms):
                         continue
                     tasks = step.waiting(now_ms)
-                    if tasks and self.startable(step, tasks, now_ms):
+                    if tasks and self.can_start(step, tasks, now_ms):
                         rank = self.rank_of(step, now_ms)
                         ranked.append((rank, step, tasks))
         ranked.sort(key=lambda item: item[0])
         return ranked
 
-    def startable(self, step, tasks, now_ms):
+    def can_start(self, step, tasks, now_ms):
         """Whether a step may start tasks; a gang waits until it is whole."""
         if not step.spec.gang:
             return True
@@ -217,8 +221,8 @@
     def rank_of(self, step, now_ms):
         """Returns the rank of a step, made unique by its name."""
         job = step.job
-        task_ms = self.learned.step_ms(step)
-        waiting = ranking.Waiting(
+        task_ms = self.durations.step_task_duration_ms(step)
+        waiting = ranking.WaitingStep(
             priority=job.rule.priority,
             arrived_ms=job.due_ms(step.occurrence),
             objective_ms=job.objective,
@@ -227,16 +231,16 @@
         rank = self.rank(waiting, now_ms)
         return (rank, job.spec.id, step.occurrence, step.number)
 
-    def views(self, now_ms):
+    def scheduling_views(self, now_ms):
         """Returns the free room of the usable workers by pool."""
         pools = {}
         for worker in self.workers.values():
             if worker.usable(now_ms):
                 name, pool = worker.report.id, worker.report.pool
-                pools.setdefault(pool, {})[name] = worker.view()
+                pools.setdefault(pool, {})[name] = worker.scheduling_view()
         return pools
 
-    def slower_than(self, share):
+    def workers_slower_than(self, share):
         """Returns the workers below a share of the usual speed."""
         return {
             name
@@ -251,21 +255,21 @@
             Whether any task was placed.
         """
         spec = step.spec
-        last, never = self.kept_for_others(step, now_ms)
-        last |= self.slow
-        never |= self.very_slow
+        last, never = self.reserved_for_others(step, now_ms)
+        last |= self.slow_workers
+        never |= self.very_slow_workers
         if never:
             pool = {k: v for k, v in pool.items() if k not in never}
         demand = self.demand(step, len(tasks), tickets, step.avoid | last)
-        chosen = placement.place(demand, pool, rate=self.rate)
+        chosen = placement.place(demand, pool, score=self.score)
         if not chosen:
             return False
         step.launches += 1
         attempt = (self.term - 1) * ATTEMPTS_PER_TERM + step.launches
-        started = []
+        planned = []
         for task, name in zip(tasks, chosen):
             worker = self.workers[name]
-            run = runs.Run(
+            run = runs.RunAttempt(
                 task=task,
                 name=task.name,
                 attempt=attempt,
@@ -276,17 +280,17 @@
             )
             worker.add(run)
             ticket = tickets[name] if tickets else ""
-            started.append((run, ticket))
+            planned.append((run, ticket))
         self.log_start(step, attempt, chosen, now_ms)
         step.job.started = True
-        for run, ticket in started:
+        for run, ticket in planned:
             self.spawn(self.start(run, ticket))
         return True
 
     def demand(self, step, tasks=None, allowed=None, avoid=()):
         """Returns what the waiting tasks of a step need."""
         spec = step.spec
-        return rooms.Demand(
+        return views.Demand(
             tasks=spec.tasks if tasks is None else tasks,
             need=spec.room,
             gang=spec.gang,
@@ -294,7 +298,9 @@
             label=spec.label,
             data_rack=spec.data_rack,
             per_host=spec.per_host,
-            present=present(step) if spec.per_host else {},
+            running_per_worker=running_per_worker(step)
+            if spec.per_host
+            else {},
             allowed=allowed,
             avoid=avoid,
         )
@@ -326,21 +332,21 @@
         worker = run.worker
         link = self.links[worker.report.id]
         task = run.task
-        if not self.steady():
+        if not self.commands_allowed():
             # Placed before a stall of this process; nothing was sent.
             link.events.vanished(worker, run, "stalled")
             return
-        order = worker_calls.StartOrder(
+        command = worker_calls.StartOrder(
             name=task.name,
             attempt=run.attempt,
             payload=task.step.job.spec.payload,
-            deadline_ms=worker.lease_until(
+            deadline_ms=worker.extend_lease(
                 self.lease.lease_ms, clock.monotonic_ms()
             ),
             checkpoint=task.step.checkpoint_for(task),
             ticket=ticket,
         )
-        result = await link.start(run, order)
+        result = await link.start(run, command)
         if result is Result.NO_TICKET:
             task.step.tickets.pop(worker.report.id, None)
         elif result is Result.UNHEALTHY:
@@ -350,7 +356,7 @@
         self.wake()
 
 
-def present(step):
+def running_per_worker(step):
     """Returns how many tasks of a step each worker may have."""
     counts = {}
     for task in step.tasks:
--- a/packages/cicadafold/src/cicadafold/dispatch/dropping.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/record_cleanup.py
@@ -12,7 +12,7 @@
 from cicadafold.journal import records
 from cicadafold.telemetry import logs
 
-__all__ = ["RecordDropper"]
+__all__ = ["RecordCleaner"]
 
 PERIOD_S = 1.0
 # A request that comes again after the end of its job, seconds later, still
@@ -23,7 +23,7 @@
 LOG = logs.get_logger("journal")
 
 
-class RecordDropper:
+class RecordCleaner:
     """Drops descriptions of ended jobs, and later their ends.
 
     Args:
@@ -36,12 +36,12 @@
         homes: Partitions in which the records of a job lie.
     """
 
-    def __init__(self, *, store, journal, status_s, forget):
+    def __init__(self, *, store, journal, status_s, on_end_dropped):
         self.store = store
         self.journal = journal
-        self.forget = forget
+        self.on_end_dropped = on_end_dropped
         self.kept_ms = status_s * MILLISECONDS * END_KEPT_FACTOR
-        self.homes = {}
+        self.partitions = {}
         self.ended = set()
         self.ends = {}
 
@@ -57,7 +57,7 @@
             self.drop_ends(clock.monotonic_ms())
             by_partition = {}
             for job in self.ended:
-                for partition in self.homes.get(job, ()):
+                for partition in self.partitions.get(job, ()):
                     by_partition.setdefault(partition, set()).add(job)
             for partition, jobs in by_partition.items():
                 await self.drop(partition, jobs)
@@ -70,7 +70,7 @@
             del self.ends[job]
             self.ended.discard(job)
             self.journal.drop(job)
-            self.forget(job)
+            self.on_end_dropped(job)
 
     async def drop(self, partition, jobs):
         """Drops the descriptions of jobs from one partition."""
--- a/packages/cicadafold/src/cicadafold/dispatch/runs.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/runs.py
@@ -3,19 +3,19 @@
 import enum
 
 from cicadafold import clock
-from cicadafold.scheduling import rooms
 from cicadafold.scheduling import speeds
+from cicadafold.scheduling import views
 
-__all__ = ["Run", "RunState", "Worker", "run_fields"]
+__all__ = ["RunAttempt", "RunState", "Worker", "run_log_fields"]
 
 # The platform bounds a worker's clock to be at most 2% slow.
-SLOW_CLOCK = 1.02
-LAPSE_MARGIN_MS = 150.0
+SLOW_CLOCK_FACTOR = 1.02
+LEASE_MARGIN_MS = 150.0
 # A worker that drains serves at least about this long.
-DEFAULT_REMAINING_MS = 2500.0
+DEFAULT_DRAIN_MS = 2500.0
 # An order without an answer may be carried out this much later; the
 # platform speaks of seconds, up to 12 were seen.
-LATEST_ORDER_MS = 13000.0
+MAX_START_DELAY_MS = 13000.0
 
 
 class RunState(enum.Enum):
@@ -30,11 +30,11 @@
 
     STARTING = "starting"
     RUNNING = "running"
-    DOUBTFUL = "doubtful"
+    UNCONFIRMED = "doubtful"
     STOPPING = "stopping"
 
 
-class Run:
+class RunAttempt:
     """One run of a task on a worker.
 
     Attributes:
@@ -61,20 +61,20 @@
         "answered_ms",
         "attempt",
         "name",
-        "ordered_ms",
+        "start_sent_ms",
         "pace",
         "percent",
-        "percent_ms",
+        "progress_changed_ms",
         "reading",
-        "rated_ms",
+        "rate_measured_ms",
         "room",
         "started_ms",
         "state",
-        "stop_wanted",
-        "stopped_ms",
-        "stopping",
+        "stop_requested",
+        "stop_answered_ms",
+        "stop_in_progress",
         "task",
-        "uncertain",
+        "start_unconfirmed",
         "worker",
     )
 
@@ -85,18 +85,18 @@
         self.worker = worker
         self.room = room
         self.state = state
-        self.ordered_ms = now_ms
+        self.start_sent_ms = now_ms
         self.answered_ms = None
         self.started_ms = now_ms
         self.percent = 0.0
-        self.percent_ms = now_ms
-        self.stop_wanted = False
-        self.stopping = False
-        self.stopped_ms = None
+        self.progress_changed_ms = now_ms
+        self.stop_requested = False
+        self.stop_in_progress = False
+        self.stop_answered_ms = None
         self.reading = 0.0
-        self.rated_ms = None
+        self.rate_measured_ms = None
         self.pace = 100
-        self.uncertain = False
+        self.start_unconfirmed = False
 
     @property
     def key(self):
@@ -104,7 +104,7 @@
         return self.name, self.attempt
 
 
-def run_fields(run):
+def run_log_fields(run):
     """Returns the fields of a log line about a run."""
     return {
         "request_id": run.name.job,
@@ -151,35 +151,35 @@
         self.clock = clock.WorkerClock()
         self.born_ms = None
         self.deadline_ms = 0
-        self.begun_ms = now_ms
-        self.reset_counts()
-        self.late_orders = {}
-        self.closed = True
+        self.known_since_ms = now_ms
+        self.reset_end_numbers()
+        self.unconfirmed_starts = {}
+        self.closed_to_starts = True
         self.open_batch = None
         self.silent_since_ms = None
         self.lapse_at_ms = None
         self.lapsed = False
         self.fenced = False
         self.quarantined_until_ms = 0.0
-        self.faults = 0
-        self.faulty_jobs = frozenset()
-        self.meter = speeds.SpeedMeter()
+        self.quarantines_in_a_row = 0
+        self.failed_jobs = frozenset()
+        self.speed_meter = speeds.SpeedMeter()
         self.speed = 1.0
         self.reported_ms = now_ms
         self.used = [0, 0, 0]
-        self.rack = rooms.rack_of(report.labels)
+        self.rack = views.rack_of(report.labels)
         self.labels = frozenset(report.labels)
 
-    def reset_counts(self):
+    def reset_end_numbers(self):
         """Forgets the numbers of ends, at the start of a life."""
         self.acknowledged = 0
-        self.seen = 0
+        self.handled_end = 0
         self.unrecorded = []
 
     def add(self, run):
         """Takes room for a run."""
         self.runs[run.key] = run
-        self.count(run.room, 1)
+        self.adjust_used(run.room, 1)
         if run.task is not None:
             run.task.runs.append(run)
 
@@ -187,33 +187,36 @@
         """Gives back the room of a run that is proved gone."""
         if self.runs.pop(run.key, None) is None:
             return
-        if run.uncertain:
-            self.late_orders[run.key] = (run.room, run.ordered_ms)
-        self.count(run.room, -1)
+        if run.start_unconfirmed:
+            self.unconfirmed_starts[run.key] = (
+                run.room,
+                run.start_sent_ms,
+            )
+        self.adjust_used(run.room, -1)
         if run.task is not None:
             run.task.runs.remove(run)
 
-    def count(self, room, sign):
+    def adjust_used(self, resources, sign):
         """Adds to the used room."""
-        self.used[0] += sign * room.cores_milli
-        self.used[1] += sign * room.memory_mb
-        self.used[2] += sign * room.accelerators
+        self.used[0] += sign * resources.cores_milli
+        self.used[1] += sign * resources.memory_mb
+        self.used[2] += sign * resources.accelerators
 
     def usable(self, now_ms):
         """Whether it may be given new runs."""
         return (
             self.fenced
-            and not self.closed
+            and not self.closed_to_starts
             and self.listed
             and not self.report.draining
             and self.silent_since_ms is None
             and now_ms >= self.quarantined_until_ms
         )
 
-    def view(self):
+    def scheduling_view(self):
         """Returns its free room for placement."""
         capacity = self.report.capacity
-        return rooms.HostRoom(
+        return views.WorkerView(
             self.report.id,
             self.rack,
             self.report.domain,
@@ -224,13 +227,13 @@
             self.speed,
         )
 
-    def lease_until(self, lease_ms, now_ms):
+    def extend_lease(self, lease_ms, now_ms):
         """Returns the end of a lease that begins now, by its clock."""
         until = int(self.clock.at_least(at_ms=now_ms) + lease_ms)
         self.deadline_ms = max(self.deadline_ms, until)
         return until
 
-    def silent(self, now_ms, longest_ms):
+    def mark_silent(self, now_ms, longest_ms):
         """Notes an unanswered call and when its leases are over.
 
         Args:
@@ -240,44 +243,49 @@
         if self.silent_since_ms is None:
             self.silent_since_ms = now_ms
         if self.clock.seen_ms is None:
-            left_ms = longest_ms - (now_ms - self.begun_ms)
+            left_ms = longest_ms - (now_ms - self.known_since_ms)
         else:
             left_ms = self.deadline_ms - self.clock.at_least(at_ms=now_ms)
         if self.lapse_at_ms is None:
             self.lapse_at_ms = (
-                now_ms + max(0.0, left_ms) * SLOW_CLOCK + LAPSE_MARGIN_MS
+                now_ms
+                + max(0.0, left_ms) * SLOW_CLOCK_FACTOR
+                + LEASE_MARGIN_MS
             )
 
-    def take_late_orders(self, now_ms):
+    def pop_unconfirmed_starts(self, now_ms):
         """Returns unanswered orders that a new life may still carry out.
 
         Returns:
             Their runs, which take room until a stop is answered.
         """
         found = []
-        for (name, attempt), (room, ordered_ms) in self.late_orders.items():
-            if now_ms - ordered_ms > LATEST_ORDER_MS:
+        for (name, attempt), (
+            resources,
+            start_sent_ms,
+        ) in self.unconfirmed_starts.items():
+            if now_ms - start_sent_ms > MAX_START_DELAY_MS:
                 continue
-            run = Run(
+            run = RunAttempt(
                 task=None,
                 name=name,
                 attempt=attempt,
                 worker=self,
-                room=room,
-                state=RunState.DOUBTFUL,
-                now_ms=ordered_ms,
+                room=resources,
+                state=RunState.UNCONFIRMED,
+                now_ms=start_sent_ms,
             )
-            run.uncertain = True
+            run.start_unconfirmed = True
             found.append(run)
-        self.late_orders = {}
+        self.unconfirmed_starts = {}
         return found
 
     def remaining_ms(self, now_ms):
         """Returns the least time until it leaves, while it drains."""
-        said_ms = self.report.remaining_ms or DEFAULT_REMAINING_MS
+        said_ms = self.report.remaining_ms or DEFAULT_DRAIN_MS
         return said_ms - (now_ms - self.reported_ms)
 
-    def answered(self):
+    def mark_answering(self):
         """Notes that it answers."""
         self.silent_since_ms = None
         self.lapse_at_ms = None
--- a/packages/cicadafold/src/cicadafold/dispatch/term.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/term.py
@@ -4,13 +4,13 @@
 
 from cicadafold import clock
 from cicadafold.dispatch import advising
-from cicadafold.dispatch import dropping
 from cicadafold.dispatch import ends
 from cicadafold.dispatch import handover
 from cicadafold.dispatch import inheritance
 from cicadafold.dispatch import job_table
 from cicadafold.dispatch import pacing
 from cicadafold.dispatch import placing
+from cicadafold.dispatch import record_cleanup
 from cicadafold.dispatch import steadiness
 from cicadafold.dispatch import unknown
 from cicadafold.dispatch import watching
@@ -91,7 +91,7 @@
         )
         self.over = asyncio.Event()
         self.reason = ""
-        self.learned = estimates.Estimates()
+        self.durations = estimates.DurationEstimates()
         self.group = None
         self.journal = progress_module.ProgressWriter(
             store=store,
@@ -99,11 +99,11 @@
             metrics=metrics,
             on_durable=self.on_durable,
         )
-        self.dropper = dropping.RecordDropper(
+        self.record_cleaner = record_cleanup.RecordCleaner(
             store=store,
             journal=self.journal,
             status_s=status_s,
-            forget=self.forget,
+            on_end_dropped=self.forget,
         )
         self.cell = worker_table.WorkerTable(
             term=number,
@@ -128,7 +128,7 @@
         )
         self.table = job_table.JobTable(
             journal=self.journal,
-            learned=self.learned,
+            durations=self.durations,
             stop_run=lambda run: self.events.stop_run(run),
             metrics=metrics,
         )
@@ -138,7 +138,7 @@
         self.table.on_durable(states)
         for job, state in states:
             if state.final:
-                self.dropper.add(job.spec.id)
+                self.record_cleaner.add(job.spec.id)
 
     def forget(self, job_id):
         """Forgets a job that nobody asks for any more."""
@@ -178,7 +178,7 @@
         """Makes the parts that need the task group."""
         self.events = ends.WorkerEvents(
             table=self.table,
-            learned=self.learned,
+            durations=self.durations,
             group=self.group,
             wake=lambda: self.placer.wake(),
             step_down=self.step_down,
@@ -190,21 +190,23 @@
         self.placer = placing.Placer(
             term=self.number,
             table=self.table,
-            learned=self.learned,
+            durations=self.durations,
             workers=self.cell.workers,
             links=self.cell.links,
-            settled=self.inheritance.settled,
-            steady=self.steady,
+            all_runs_known=self.inheritance.settled,
+            commands_allowed=self.steady,
             spawn=self.group.create_task,
             lease=self.lease,
             metrics=self.metrics,
         )
         if self.uses_advice:
-            self.placer.desk = advising.AdviceDesk(
-                lines=self.advice_lines,
+            self.placer.advice_dispatcher = advising.AdviceDispatcher(
+                peers=self.advice_lines,
                 spawn=self.group.create_task,
                 wake=self.placer.wake,
-                learn=self.placer.tickets.learn,
+                record_permitted_share=(
+                    self.placer.ticket_planner.record_permitted_share
+                ),
                 metrics=self.metrics,
             )
         self.group.create_task(self.steadiness.run())
@@ -256,7 +258,7 @@
         self.ready = True
         spawn(self.placer.run())
         spawn(self.watcher.run())
-        spawn(self.dropper.run())
+        spawn(self.record_cleaner.run())
         pacer = pacing.Pacer(workers=self.cell.workers, links=self.cell.links)
         spawn(pacer.run())
         LOG.info(
@@ -279,8 +281,8 @@
         for job, progress in state.progress.items():
             if job not in state.specs:
                 self.table.restore_ended(job, progress)
-                self.dropper.add(job)
-        self.dropper.homes = state.homes
+                self.record_cleaner.add(job)
+        self.record_cleaner.partitions = state.homes
 
     async def hand_over(self):
         """Ends the term when another process takes it over."""
@@ -318,7 +320,7 @@
         spec = state.specs.get(job_id)
         if job_id in self.table.ended:
             # It came again after its end; its record is dropped again.
-            self.dropper.add(job_id)
+            self.record_cleaner.add(job_id)
             return
         if job is None and spec is not None:
             # A host may still have told the last scheduler of it.
@@ -403,4 +405,4 @@
         """
         if not self.ready or not self.reads_jobs():
             raise asking.starting()
-        return self.table.pending(queue)
+        return self.table.count_unstarted(queue)
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_handover.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_handover.py
@@ -16,7 +16,7 @@
         return age_ms
 
     return types.SimpleNamespace(
-        member="p", store_age_ms=store_age_ms, strength=strength
+        member="p", store_age_ms=store_age_ms, election_priority=strength
     )
 
 
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_job_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_job_table.py
@@ -31,7 +31,7 @@
     """Returns an empty table."""
     return job_table.JobTable(
         journal=FakeJournal(),
-        learned=estimates.Estimates(),
+        durations=estimates.DurationEstimates(),
         stop_run=lambda run: None,
         metrics=metrics.Metrics(),
     )
@@ -47,7 +47,7 @@
     """
     events = ends.WorkerEvents(
         table=table,
-        learned=table.learned,
+        durations=table.durations,
         group=None,
         wake=lambda: None,
         step_down=None,
@@ -80,14 +80,14 @@
     first = make_table()
     job = first.add(spec)
     job.occurrence(0)
-    first.task_failed(job.steps[0][0].tasks[0], 1)
+    first.record_task_failure(job.steps[0][0].tasks[0], 1)
     recorded = records.progress_of(job, term=1, version=1)
     second = make_table()
     again = second.restore(spec, recorded, cancelled=False)
     task = again.steps[0][0].tasks[0]
-    second.task_failed(task, 1)
+    second.record_task_failure(task, 1)
     assert again.state is not model.JobState.FAILED
-    second.task_failed(task, 1_000_001)
+    second.record_task_failure(task, 1_000_001)
     assert again.state is model.JobState.FAILED
 
 
@@ -97,7 +97,7 @@
     job = table.add(spec)
     step = job.occurrence(0)[0]
     for task in step.tasks:
-        table.task_done(task)
+        table.complete_task(task)
     assert job.state is model.JobState.COMPLETED
     assert not job.shown.final
     table.on_durable([(job, model.JobState.RUNNING)])
@@ -113,7 +113,7 @@
     step = job.occurrence(0)[0]
     table.cancel(job)
     for task in step.tasks:
-        table.task_done(task)
+        table.complete_task(task)
     assert job.state is model.JobState.CANCELLED
 
 
@@ -123,7 +123,7 @@
     steps = (model.StepSpec(tasks=2, gang=True),)
     job = table.add(msgspec.structs.replace(spec, steps=steps))
     first, second = job.occurrence(0)[0].tasks
-    table.task_done(first)
+    table.complete_task(first)
     events = make_events(table)
     end = model.End(1, second.name, 1, model.EndKind.DONE, "")
     worker = types.SimpleNamespace(report=types.SimpleNamespace(id="w"))
@@ -144,12 +144,12 @@
     events.unexpected(worker, model.TaskRow(name, 7, "", 30.0, 0.0))
     events.stop_unknown()
     assert not stopped
-    assert worker.view().cores_milli == 0
+    assert worker.scheduling_view().cores_milli == 0
     job = table.add(spec)
     events.job_known(spec.id)
     task = job.occurrence(0)[0].tasks[1]
     assert [run.attempt for run in task.runs] == [7]
-    assert worker.view().cores_milli == 15000
+    assert worker.scheduling_view().cores_milli == 15000
     assert not stopped
 
 
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_dropping.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_record_cleanup.py
@@ -6,7 +6,7 @@
 import pytest
 
 from cicadafold import clock
-from cicadafold.dispatch import dropping
+from cicadafold.dispatch import record_cleanup
 
 
 @pytest.fixture
@@ -15,30 +15,30 @@
     return []
 
 
-def make_dropper(appended, forgotten, dropped):
+def make_cleaner(appended, forgotten, dropped):
     """Returns a dropper on a store that notes its appends."""
 
     async def append(topic, partition, entries):
         appended.append((topic, partition, entries))
 
-    return dropping.RecordDropper(
+    return record_cleanup.RecordCleaner(
         store=types.SimpleNamespace(append=append),
         journal=types.SimpleNamespace(drop=dropped.append),
         status_s=120.0,
-        forget=forgotten.append,
+        on_end_dropped=forgotten.append,
     )
 
 
 def test_description_is_dropped_and_the_end_is_kept(appended, monkeypatch):
     """Callers may ask for the end long after the description is gone."""
     forgotten, dropped = [], []
-    dropper = make_dropper(appended, forgotten, dropped)
-    dropper.homes = {"ab": {3}}
-    dropper.add("ab")
-    asyncio.run(dropper.drop(3, {"ab"}))
+    cleaner = make_cleaner(appended, forgotten, dropped)
+    cleaner.partitions = {"ab": {3}}
+    cleaner.add("ab")
+    asyncio.run(cleaner.drop(3, {"ab"}))
     assert appended[0][1:] == (3, [("a/ab", b""), ("x/ab", b"")])
     now_ms = clock.monotonic_ms()
-    dropper.drop_ends(now_ms + 121_000.0)
+    cleaner.drop_ends(now_ms + 121_000.0)
     assert forgotten == dropped == []
-    dropper.drop_ends(now_ms + 181_000.0)
+    cleaner.drop_ends(now_ms + 181_000.0)
     assert forgotten == dropped == ["ab"]
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
@@ -126,7 +126,7 @@
 def add_run(link, job, state, index=0):
     """Adds a run of a task to the link's worker."""
     task = job.steps[0][0].tasks[index]
-    made = runs.Run(
+    made = runs.RunAttempt(
         task=task,
         name=task.name,
         attempt=1,
@@ -159,32 +159,32 @@
 def test_doubtful_order_keeps_its_room_in_a_new_life(link, job):
     """A late order may reach the next life, so its room stays taken."""
     asyncio.run(link.renew(wait=True))
-    doubtful = add_run(link, job, State.DOUBTFUL)
-    doubtful.uncertain = True
+    doubtful = add_run(link, job, State.UNCONFIRMED)
+    doubtful.start_unconfirmed = True
     running = add_run(link, job, State.RUNNING, 1)
     link.calls.inventory = worker_calls.Inventory(5, 2, [], [])
     asyncio.run(link.renew(wait=True))
     assert link.events.gone == [(running, "reborn")]
     assert doubtful.key in link.worker.runs
-    assert link.worker.view().cores_milli == 15000
+    assert link.worker.scheduling_view().cores_milli == 15000
 
 
 def test_stop_of_an_old_life_settles_no_order_in_a_new_one(link, job):
     """An unanswered order that was stopped is doubtful again when reborn."""
     asyncio.run(link.renew(wait=True))
     stopped = add_run(link, job, State.STOPPING)
-    stopped.uncertain = True
-    stopped.stopped_ms = clock.monotonic_ms()
+    stopped.start_unconfirmed = True
+    stopped.stop_answered_ms = clock.monotonic_ms()
     gone = add_run(link, job, State.STOPPING, 1)
-    gone.uncertain = True
+    gone.start_unconfirmed = True
     link.worker.remove(gone)
     link.calls.inventory = worker_calls.Inventory(5, 2, [], [])
     asyncio.run(link.renew(wait=True))
     assert link.events.gone == []
     states = {run.state for run in link.worker.runs.values()}
     assert set(link.worker.runs) == {stopped.key, gone.key}
-    assert states == {State.DOUBTFUL}
-    assert link.worker.view().cores_milli == 14000
+    assert states == {State.UNCONFIRMED}
+    assert link.worker.scheduling_view().cores_milli == 14000
 
 
 def test_silent_worker_is_not_renewed_and_lapses(link, job, monkeypatch):
@@ -211,11 +211,11 @@
     """A gang's member at 100 percent waits for the slower ones."""
     run = add_run(link, job, State.RUNNING)
     watcher = watching.Watcher(workers={}, table=None, events=None)
-    later_ms = run.percent_ms + watching.STILL_MS + 1
+    later_ms = run.progress_changed_ms + watching.STALL_MS + 1
     run.percent = 50.0
-    assert watcher.stands_still(run, later_ms)
+    assert watcher.is_stalled(run, later_ms)
     run.percent = 100.0
-    assert not watcher.stands_still(run, later_ms)
+    assert not watcher.is_stalled(run, later_ms)
 
 
 def test_gang_resumes_from_one_checkpoint(job):
@@ -246,14 +246,14 @@
     worker.reported_ms = now_ms
     worker.speed = speed
     for other in ("j1", "j2", "j3", "j4"):
-        worker.meter.observe(other, speed, now_ms)
+        worker.speed_meter.record_rate(other, speed, now_ms)
     run.percent = percent
     if draining:
         worker.report = msgspec.structs.replace(
             worker.report, draining=True, remaining_ms=2000
         )
     watcher = watching.Watcher(workers={}, table=None, events=link.events)
-    watcher.move_from(worker, now_ms)
+    watcher.move_runs_from(worker, now_ms)
     assert bool(link.events.gone) is moved
 
 
@@ -261,14 +261,14 @@
     """A job that is slow everywhere is not moved for its own rate."""
     run = add_run(link, job, State.RUNNING)
     now_ms = run.started_ms + 1000.0
-    meter = link.worker.meter
+    meter = link.worker.speed_meter
     for other in ("j1", "j2", "j3", "j4"):
-        meter.observe(other, 1.0, now_ms)
-    meter.observe(run.name.job, 0.05, now_ms)
+        meter.record_rate(other, 1.0, now_ms)
+    meter.record_rate(run.name.job, 0.05, now_ms)
     link.worker.speed = 0.2
     run.percent = 10.0
     watcher = watching.Watcher(workers={}, table=None, events=link.events)
-    watcher.move_from(link.worker, now_ms)
+    watcher.move_runs_from(link.worker, now_ms)
     assert link.events.gone == []
 
 
@@ -283,8 +283,8 @@
         lease_ms=6000.0,
     )
     assert not held.settled("p")
-    add_run(link, job, State.DOUBTFUL)
-    link.worker.silent(now_ms, 6000.0)
+    add_run(link, job, State.UNCONFIRMED)
+    link.worker.mark_silent(now_ms, 6000.0)
     link.worker.fenced = True
     known = records.KnownWorkers(1, 1, held.record())
     link.worker.fenced = False
@@ -322,7 +322,7 @@
         begun_ms=clock.monotonic_ms(),
         lease_ms=6000.0,
     )
-    link.worker.silent(clock.monotonic_ms(), 6000.0)
+    link.worker.mark_silent(clock.monotonic_ms(), 6000.0)
     assert held.record()[0].tasks is None
 
 
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_table.py
@@ -92,14 +92,14 @@
     worker.fenced = True
     asyncio.run(settle(table, journal))
     now_ms = clock.monotonic_ms()
-    worker.silent(now_ms, 6000.0)
+    worker.mark_silent(now_ms, 6000.0)
     table.note(table.inheritance.record())
-    assert not worker.closed
+    assert not worker.closed_to_starts
     monkeypatch.setattr(clock, "monotonic_ms", lambda: now_ms + 900.0)
     table.note(table.inheritance.record())
-    assert worker.closed
+    assert worker.closed_to_starts
     assert journal.listed[0].tasks == []
-    worker.answered()
+    worker.mark_answering()
     assert not worker.usable(now_ms + 900.0)
     asyncio.run(settle(table, journal))
     assert worker.usable(now_ms + 900.0)
@@ -112,4 +112,4 @@
     table.add(report)
     table.inheritance.take(known, types.SimpleNamespace(find=None))
     table.open_known()
-    assert not table.workers["w"].closed
+    assert not table.workers["w"].closed_to_starts
--- a/packages/cicadafold/src/cicadafold/dispatch/ticketing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/ticketing.py
@@ -10,15 +10,15 @@
 # Most workers that one call for advice may name.
 MAX_ADVISED = 100
 # Least number of workers asked about, and how many more than needed.
-LEAST_ADVISED = 16
+MIN_ADVISED = 16
 ADVISED_FACTOR = 1.5
 # Share of a worker that is likely to be free for a step.
 USABLE_SHARE = 0.6
 # Share of workers that a policy permits: at first, at least, and the weight
 # of the newest answer.
-FIRST_PERMITTED = 0.4
-LEAST_PERMITTED = 0.05
-PERMITTED_RATE = 0.1
+INITIAL_PERMITTED_SHARE = 0.4
+MIN_PERMITTED_SHARE = 0.05
+PERMITTED_LEARNING_RATE = 0.1
 # New tickets for a waiting gang are asked for this early.
 REFRESH_FACTOR = 1.3
 
@@ -32,9 +32,9 @@
 
     def __init__(self, *, workers):
         self.workers = workers
-        self.permitted = {}
+        self.permitted_shares = {}
 
-    def valid(self, step, now_ms):
+    def valid_tickets(self, step, now_ms):
         """Returns the valid tickets of a step by worker."""
         return {
             worker: ticket
@@ -42,7 +42,7 @@
             if now_ms < until_ms
         }
 
-    def want(self, rank, step, tickets, pool, now_ms):
+    def next_request(self, rank, step, tickets, pool, now_ms):
         """Returns a call if a step is, or soon is, without tickets.
 
         Args:
@@ -57,15 +57,15 @@
         """
         if step.asking:
             return None
-        narrow = tickets and self.too_narrow(step, tickets)
-        if tickets and not narrow:
-            if not self.runs_out(step, tickets, now_ms):
+        too_few = tickets and self.too_few_permitted(step, tickets)
+        if tickets and not too_few:
+            if not self.tickets_expire_soon(step, tickets, now_ms):
                 return None
         known = step.allowed
         if known is None:
-            names = self.likely_workers(step, pool, ())
-        elif narrow:
-            names = self.likely_workers(step, pool, known)
+            names = self.candidate_workers(step, pool, ())
+        elif too_few:
+            names = self.candidate_workers(step, pool, known)
         else:
             names = [x for x in pool if known.get(x, False)]
             names.extend(x for x in pool if x not in known)
@@ -75,9 +75,9 @@
             return None
         advice = step.job.rule.advice
         cost_ms = advice.base_ms + advice.per_host_ms * len(names)
-        return advising.AdviceWanted(rank, step, names, cost_ms)
+        return advising.AdviceRequest(rank, step, names, cost_ms)
 
-    def runs_out(self, step, tickets, now_ms):
+    def tickets_expire_soon(self, step, tickets, now_ms):
         """Whether a gang's tickets end before new ones could come."""
         if not step.spec.gang:
             return False
@@ -86,24 +86,24 @@
         first_ms = min(step.tickets[name][1] for name in tickets)
         return first_ms - now_ms < call_ms * REFRESH_FACTOR
 
-    def too_narrow(self, step, tickets):
+    def too_few_permitted(self, step, tickets):
         """Whether a gang could not run on its permitted workers at all."""
         if not step.spec.gang:
             return False
         held = sum(
-            self.whole_count(self.workers[name], step.spec)
+            self.max_tasks_when_idle(self.workers[name], step.spec)
             for name in tickets
             if name in self.workers
         )
         return held * USABLE_SHARE < step.spec.tasks
 
-    def whole_count(self, worker, spec):
+    def max_tasks_when_idle(self, worker, spec):
         """Returns how many tasks a worker holds when nothing else runs."""
-        view = worker.view()
-        view.give(model.Resources(*worker.used))
-        return min(view.holds(spec.room), spec.tasks)
+        view = worker.scheduling_view()
+        view.release(model.Resources(*worker.used))
+        return min(view.max_tasks(spec.room), spec.tasks)
 
-    def likely_workers(self, step, pool, known):
+    def candidate_workers(self, step, pool, known):
         """Returns workers to ask about, those with most room first.
 
         Enough are named that the permitted ones will hold the step, by the
@@ -117,17 +117,22 @@
             and name not in known
         ]
         counts = [
-            self.whole_count(self.workers[name], spec) for _, name in fitting
+            self.max_tasks_when_idle(self.workers[name], spec)
+            for _, name in fitting
         ]
         each = max(1.0, USABLE_SHARE * max(counts, default=1))
-        share = self.permitted.get(step.job.rule.name, FIRST_PERMITTED)
+        share = self.permitted_shares.get(
+            step.job.rule.name, INITIAL_PERMITTED_SHARE
+        )
         wanted = math.ceil(spec.tasks / each / share * ADVISED_FACTOR)
-        wanted = max(LEAST_ADVISED, min(MAX_ADVISED, wanted))
+        wanted = max(MIN_ADVISED, min(MAX_ADVISED, wanted))
         return [name for _, name in sorted(fitting)][:wanted]
 
-    def learn(self, step, asked, granted):
+    def record_permitted_share(self, step, asked, granted):
         """Takes the share of workers that a queue's policy permits."""
         queue = step.job.rule.name
-        known = self.permitted.get(queue, FIRST_PERMITTED)
-        found = max(LEAST_PERMITTED, granted / max(1, asked))
-        self.permitted[queue] = known + PERMITTED_RATE * (found - known)
+        known = self.permitted_shares.get(queue, INITIAL_PERMITTED_SHARE)
+        found = max(MIN_PERMITTED_SHARE, granted / max(1, asked))
+        self.permitted_shares[queue] = known + PERMITTED_LEARNING_RATE * (
+            found - known
+        )
--- a/packages/cicadafold/src/cicadafold/dispatch/watching.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/watching.py
@@ -13,15 +13,15 @@
 PERIOD_S = 0.25
 # A run whose progress has not grown for this long stands still; the
 # slowest sound run gains one percent in a fraction of it.
-STILL_MS = 2500.0
+STALL_MS = 2500.0
 QUARANTINE_MS = 4000.0
 # A run is moved from a slow worker if it would still take this much longer
 # than a whole run elsewhere, with the time of stop and start.
 MOVE_FACTOR = 1.3
 MOVE_COST_MS = 600.0
-LEAST_SEEN_MS = 500.0
-LEAST_SPEED = 0.05
-WHOLE_PERCENT = 100.0
+MIN_RUN_MS = 500.0
+MIN_SPEED = 0.05
+FULL_PERCENT = 100.0
 # Steps that wait longer than this are reported, a few in each report.
 LONG_WAIT_MS = 4000.0
 REPORT_PERIOD_S = 2.0
@@ -50,20 +50,20 @@
         while True:
             await asyncio.sleep(PERIOD_S)
             now_ms = clock.monotonic_ms()
-            self.measure(now_ms)
+            self.update_speeds(now_ms)
             self.events.stop_unknown()
             for worker in list(self.workers.values()):
-                self.look_at(worker, now_ms)
-                self.move_from(worker, now_ms)
+                self.check_worker(worker, now_ms)
+                self.move_runs_from(worker, now_ms)
             if now_ms - reported_ms > REPORT_PERIOD_S * 1000:
                 reported_ms = now_ms
                 self.report_waiting(now_ms)
 
-    def measure(self, now_ms):
+    def update_speeds(self, now_ms):
         """Sets the speed of each worker against its pool's median."""
         measured = {}
         for name, worker in self.workers.items():
-            speed = worker.meter.speed(now_ms)
+            speed = worker.speed_meter.speed(now_ms)
             measured.setdefault(worker.report.pool, {})[name] = speed
         for found in measured.values():
             for name, speed in speeds.relative_speeds(found).items():
@@ -83,50 +83,52 @@
         ]
         waiting.sort(key=lambda step: step.opened_ms)
         for step in waiting[:MAX_REPORTED]:
-            LOG.info("A step waits.", fields=waiting_fields(step, now_ms))
+            LOG.info("A step waits.", fields=waiting_log_fields(step, now_ms))
 
-    def look_at(self, worker, now_ms):
+    def check_worker(self, worker, now_ms):
         """Stops the runs of one worker that stand still."""
         if worker.silent_since_ms is not None:
             return
         for run in list(worker.runs.values()):
-            if not self.stands_still(run, now_ms):
+            if not self.is_stalled(run, now_ms):
                 continue
             worker.quarantined_until_ms = now_ms + QUARANTINE_MS
             LOG.warning(
                 "A run stands still and is stopped.",
-                fields=runs.run_fields(run) | {"percent": run.percent},
+                fields=runs.run_log_fields(run) | {"percent": run.percent},
             )
             run.task.step.avoid.add(worker.report.id)
             self.events.stop_run(run)
 
-    def move_from(self, worker, now_ms):
+    def move_runs_from(self, worker, now_ms):
         """Stops what a leaving or slow worker would not end in time."""
         draining = worker.report.draining
         if worker.silent_since_ms is not None:
             return
-        if not draining and worker.speed >= speeds.VERY_SLOW:
+        if not draining and worker.speed >= speeds.VERY_SLOW_SPEED:
             return
         for run in list(worker.runs.values()):
-            left_ms = self.left_ms(run, worker, now_ms)
+            left_ms = self.expected_remaining_ms(run, worker, now_ms)
             if left_ms is None:
                 continue
-            others = worker.meter.speed(now_ms, without=run.name.job)
-            if not draining and others >= speeds.VERY_SLOW:
+            others = worker.speed_meter.speed(
+                now_ms, excluded_job=run.name.job
+            )
+            if not draining and others >= speeds.VERY_SLOW_SPEED:
                 # The job itself may be longer than estimated.
                 continue
             if draining:
                 bound_ms = worker.remaining_ms(now_ms)
             else:
-                whole_ms = self.events.expected_ms(run)
-                bound_ms = whole_ms * MOVE_FACTOR + MOVE_COST_MS
+                full_run_ms = self.events.expected_ms(run)
+                bound_ms = full_run_ms * MOVE_FACTOR + MOVE_COST_MS
             if left_ms <= bound_ms:
                 continue
             LOG.info(
                 "A run is moved from a leaving worker."
                 if draining
                 else "A run is moved from a slow worker.",
-                fields=runs.run_fields(run)
+                fields=runs.run_log_fields(run)
                 | {
                     "left_ms": round(left_ms),
                     "bound_ms": round(bound_ms),
@@ -135,34 +137,34 @@
             )
             self.events.stop_run(run)
 
-    def left_ms(self, run, worker, now_ms):
+    def expected_remaining_ms(self, run, worker, now_ms):
         """Returns how long a run still takes, None if it is not moved."""
-        if run.state is not runs.RunState.RUNNING or run.stop_wanted:
+        if run.state is not runs.RunState.RUNNING or run.stop_requested:
             return None
         expected_ms = self.events.expected_ms(run)
         ran_ms = now_ms - run.started_ms
-        if expected_ms is None or ran_ms < LEAST_SEEN_MS:
+        if expected_ms is None or ran_ms < MIN_RUN_MS:
             return None
         return estimates.remaining_ms(
-            expected_ms / max(worker.speed, LEAST_SPEED),
+            expected_ms / max(worker.speed, MIN_SPEED),
             ran_ms,
             run.percent,
         )
 
-    def stands_still(self, run, now_ms):
+    def is_stalled(self, run, now_ms):
         """Whether the progress of a run has stopped."""
-        if run.state is not runs.RunState.RUNNING or run.stop_wanted:
+        if run.state is not runs.RunState.RUNNING or run.stop_requested:
             return False
         task = run.task
         if task is None or task.step.spec.lasting or task.step.spec.fills:
             return False
-        if task.step.spec.gang and run.percent >= WHOLE_PERCENT:
+        if task.step.spec.gang and run.percent >= FULL_PERCENT:
             # It has done its part and waits for the slower members.
             return False
-        return now_ms - run.percent_ms > STILL_MS
+        return now_ms - run.progress_changed_ms > STALL_MS
 
 
-def waiting_fields(step, now_ms):
+def waiting_log_fields(step, now_ms):
     """Returns what a report says of a step that waits."""
     tickets = sum(now_ms < until for _, until in step.tickets.values())
     return {
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -129,7 +129,7 @@
         # the way back must not move the time at which it has lapsed.
         if wait and worker.clock.seen_ms is not None:
             wait_ms = 0 if worker.unrecorded else RENEW_WAIT_MS
-            deadline_ms = worker.lease_until(self.lease.lease_ms, sent_ms)
+            deadline_ms = worker.extend_lease(self.lease.lease_ms, sent_ms)
         acknowledged = self.number_to_send(sent_ms) if wait else 0
         found = await self.calls.renew(
             acknowledged=acknowledged,
@@ -179,7 +179,7 @@
                 fields={"worker": worker.report.id, "runs": len(worker.runs)},
             )
             self.events.silent(worker)
-        worker.silent(now_ms, self.lease.longest_ms)
+        worker.mark_silent(now_ms, self.lease.longest_ms)
         if now_ms >= worker.lapse_at_ms and not worker.lapsed:
             worker.lapsed = True
             LOG.warning(
@@ -208,7 +208,7 @@
             self.events.answering(worker)
         worker.born_ms = found.born_ms
         worker.clock.update(found.clock_ms, at_ms=now_ms)
-        worker.answered()
+        worker.mark_answering()
         worker.fenced = True
         self.deferred = not all(map(self.take_end, found.ends))
         self.take_rows(found.rows, now_ms)
@@ -228,11 +228,11 @@
             "The worker has started anew.",
             fields={"worker": worker.report.id, "born_ms": found.born_ms},
         )
-        worker.reset_counts()
+        worker.reset_end_numbers()
         self.confirmed = 0
         worker.deadline_ms = 0
         now_ms = clock.monotonic_ms()
-        for run in worker.take_late_orders(now_ms):
+        for run in worker.pop_unconfirmed_starts(now_ms):
             worker.add(run)
         for run in list(worker.runs.values()):
             answered = run.answered_ms is not None
@@ -241,9 +241,9 @@
                 continue
             # A late order could still be carried out in the new life, which
             # knows nothing of stops that the old one has answered.
-            if run.uncertain or run.state is State.STARTING:
-                run.state = State.DOUBTFUL
-                run.stopped_ms = None
+            if run.start_unconfirmed or run.state is State.STARTING:
+                run.state = State.UNCONFIRMED
+                run.stop_answered_ms = None
                 self.stop_soon(run)
             else:
                 self.events.vanished(worker, run, "reborn")
@@ -255,15 +255,15 @@
             Whether it is handled; if not, it and later ones come again.
         """
         worker = self.worker
-        if end.number <= worker.seen:
+        if end.number <= worker.handled_end:
             return True
         run = worker.runs.get((end.name, end.attempt))
         if run is not None:
-            run.uncertain = False
+            run.start_unconfirmed = False
         batch = self.events.ended(worker, end, run)
         if batch is None:
             return False
-        worker.seen = end.number
+        worker.handled_end = end.number
         if run is not None:
             worker.remove(run)
         worker.unrecorded.append((end.number, batch))
@@ -276,25 +276,25 @@
             if run is None:
                 self.events.unexpected(self.worker, row)
                 continue
-            run.uncertain = False
-            if run.state in (State.STARTING, State.DOUBTFUL):
+            run.start_unconfirmed = False
+            if run.state in (State.STARTING, State.UNCONFIRMED):
                 run.state = State.RUNNING
                 run.answered_ms = now_ms
-            first = run.rated_ms is None
+            first = run.rate_measured_ms is None
             self.rate(run, row, now_ms)
             run.reading = row.reading
             if first or row.percent > run.percent:
-                run.percent_ms = now_ms
+                run.progress_changed_ms = now_ms
             run.percent = row.percent
             if run.task is not None:
                 run.task.save(row.checkpoint, row.percent)
 
     def rate(self, run, row, now_ms):
         """Takes the rate of a run's progress as one of its worker's."""
-        before_ms, before = run.rated_ms, run.percent
+        before_ms, before = run.rate_measured_ms, run.percent
         if before_ms is not None and now_ms - before_ms < LEAST_RATED_MS:
             return
-        run.rated_ms = now_ms
+        run.rate_measured_ms = now_ms
         if before_ms is None or row.percent >= WHOLE_PERCENT:
             return
         expected_ms = self.events.expected_ms(run)
@@ -302,14 +302,17 @@
         if expected_ms is not None and not run.task.step.spec.gang:
             gained = (row.percent - before) / WHOLE_PERCENT
             rate = gained * expected_ms / (now_ms - before_ms)
-            self.worker.meter.observe(run.name.job, rate, now_ms)
+            self.worker.speed_meter.record_rate(run.name.job, rate, now_ms)
 
     def drop_missing(self, listed, sent_ms):
         """Drops runs that the worker had before this call and has not now."""
         for run in list(self.worker.runs.values()):
             if run.key in listed:
                 continue
-            if run.stopped_ms is not None and run.stopped_ms < sent_ms:
+            if (
+                run.stop_answered_ms is not None
+                and run.stop_answered_ms < sent_ms
+            ):
                 self.events.vanished(self.worker, run, "stopped")
             elif (
                 run.state is State.RUNNING
@@ -330,7 +333,7 @@
             LOG.warning(
                 "A start was not answered: %s",
                 error,
-                fields=runs.run_fields(run),
+                fields=runs.run_log_fields(run),
             )
             self.on_lost_order(run, error)
             return None
@@ -339,13 +342,13 @@
             if run.state is State.STARTING:
                 run.state = State.RUNNING
             run.answered_ms = now_ms
-            if run.stop_wanted:
+            if run.stop_requested:
                 self.stop_soon(run)
             return result
         LOG.info(
             "A start was refused: %s.",
             result.value,
-            fields=runs.run_fields(run),
+            fields=runs.run_log_fields(run),
         )
         if result is Result.FENCED:
             self.events.fenced(self.worker)
@@ -359,16 +362,16 @@
             self.events.vanished(self.worker, run, "unreachable")
             return
         if run.state is State.STARTING:
-            run.state = State.DOUBTFUL
-            run.uncertain = True
+            run.state = State.UNCONFIRMED
+            run.start_unconfirmed = True
             self.stop_soon(run)
 
     def stop_soon(self, run):
         """Stops a run in a task of its own."""
-        run.stop_wanted = True
-        if run.stopping:
+        run.stop_requested = True
+        if run.stop_in_progress:
             return
-        run.stopping = True
+        run.stop_in_progress = True
         self.events.spawn(self.stop(run))
 
     async def stop(self, run):
@@ -379,7 +382,7 @@
                     return
                 await asyncio.sleep(STOP_PAUSE_S)
         finally:
-            run.stopping = False
+            run.stop_in_progress = False
 
     async def stop_once(self, run):
         """Sends a stop and returns whether it is settled."""
@@ -398,6 +401,6 @@
             return True
         if result is not Result.TAKEN and result is not Result.SUPERSEDED:
             return False
-        run.stopped_ms = clock.monotonic_ms()
+        run.stop_answered_ms = clock.monotonic_ms()
         run.state = State.STOPPING
         return True
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
@@ -93,7 +93,7 @@
     def add(self, report):
         """Adds a worker and its link."""
         worker = runs.Worker(report=report, now_ms=clock.monotonic_ms())
-        worker.begun_ms = max(self.begun_ms, worker.begun_ms)
+        worker.known_since_ms = max(self.begun_ms, worker.known_since_ms)
         self.workers[report.id] = worker
         link = worker_link.WorkerLink(
             worker=worker,
@@ -151,7 +151,7 @@
     @property
     def open_workers(self):
         """Workers that may be given runs, as far as recorded."""
-        return [x for x in self.workers.values() if not x.closed]
+        return [x for x in self.workers.values() if not x.closed_to_starts]
 
     def note(self, listed):
         """Records the workers, and closes those that get no new runs.
@@ -164,15 +164,15 @@
         for known in listed:
             worker = self.workers[known.report.id]
             if known.tasks is not None:
-                worker.closed = True
-            elif worker.closed:
+                worker.closed_to_starts = True
+            elif worker.closed_to_starts:
                 worker.open_batch = batch
                 self.opening.add(worker)
 
     def open_known(self):
         """Opens the workers that the last term's record lets be used."""
         for name in self.inheritance.open_names & set(self.workers):
-            self.workers[name].closed = False
+            self.workers[name].closed_to_starts = False
 
     async def open_recorded(self):
         """Opens workers whenever it is recorded that they are used."""
@@ -181,7 +181,7 @@
             durable = self.journal.durable_batch
             ready = [x for x in self.opening if x.open_batch <= durable]
             for worker in ready:
-                worker.closed = False
+                worker.closed_to_starts = False
                 self.opening.discard(worker)
             if ready:
                 self.wake()
--- a/packages/cicadafold/src/cicadafold/scheduling/placement.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/placement.py
@@ -19,24 +19,24 @@
 
 
 @policy("best-fit")
-def best_fit(host, demand):
+def best_fit(worker, demand):
     """Leaves the largest free rooms whole, for wide and large tasks."""
-    return host.cores_milli - demand.need.cores_milli
+    return worker.cores_milli - demand.need.cores_milli
 
 
 @policy("least-loaded")
-def least_loaded(host, demand):
+def least_loaded(worker, demand):
     """Uses the largest free room first."""
-    return -host.cores_milli
+    return -worker.cores_milli
 
 
 @policy("fast-first")
-def fast_first(host, demand):
+def fast_first(worker, demand):
     """Uses fast workers first, and among them the fullest."""
-    return (-round(host.speed, 1), best_fit(host, demand))
+    return (-round(worker.speed, 1), best_fit(worker, demand))
 
 
-def place(demand, hosts, *, rate):
+def place(demand, workers, *, score):
     """Chooses a worker for each task, as far as there is room.
 
     Args:
@@ -49,29 +49,29 @@
         or not at all.
     """
     fitting = []
-    for host in hosts.values():
-        count = demand.fitting(host)
+    for worker in workers.values():
+        count = demand.max_tasks_on(worker)
         if count:
-            fitting.append((order(host, demand, rate), host, count))
+            fitting.append((sort_key(worker, demand, score), worker, count))
     fitting.sort(key=lambda item: item[0])
     if demand.gang:
         return place_gang(demand, fitting)
-    return fill(demand, fitting)
+    return place_in_order(demand, fitting)
 
 
-def order(host, demand, rate):
+def sort_key(worker, demand, score):
     """Returns the order of a worker: avoided last, data rack first."""
-    far = bool(demand.data_rack) and host.rack != demand.data_rack
-    return (host.id in demand.avoid, far, rate(host, demand), host.id)
+    far = bool(demand.data_rack) and worker.rack != demand.data_rack
+    return (worker.id in demand.avoid, far, score(worker, demand), worker.id)
 
 
-def fill(demand, fitting):
+def place_in_order(demand, fitting):
     """Fills the workers in their order."""
     chosen = []
-    for _, host, count in fitting:
+    for _, worker, count in fitting:
         count = min(count, demand.tasks - len(chosen))
-        host.take(demand.need, count)
-        chosen.extend([host.id] * count)
+        worker.reserve(demand.need, count)
+        chosen.extend([worker.id] * count)
         if len(chosen) == demand.tasks:
             break
     return chosen
@@ -84,13 +84,13 @@
         for item in fitting:
             racks.setdefault(item[1].rack, []).append(item)
         for members in racks.values():
-            if total(members) >= demand.tasks:
-                return fill(demand, members)
-    if total(fitting) < demand.tasks:
+            if total_tasks(members) >= demand.tasks:
+                return place_in_order(demand, members)
+    if total_tasks(fitting) < demand.tasks:
         return []
-    return fill(demand, fitting)
+    return place_in_order(demand, fitting)
 
 
-def total(fitting):
+def total_tasks(fitting):
     """Returns how many tasks a list of workers can take."""
     return sum(count for _, _, count in fitting)
--- a/packages/cicadafold/src/cicadafold/scheduling/ranking.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/ranking.py
@@ -2,16 +2,16 @@
 
 import msgspec
 
-__all__ = ["RANKINGS", "Waiting", "objective_ms", "ranking"]
+__all__ = ["RANKINGS", "WaitingStep", "objective_ms", "ranking"]
 
 RANKINGS = {}
 # A job that is late by more than this many objectives earns nothing.
-LATE_FACTOR = 3.0
-MISSED = 1
-LOST = 2
+TOO_LATE_FACTOR = 3.0
+LATE = 1
+TOO_LATE = 2
 
 
-class Waiting(msgspec.Struct, kw_only=True):
+class WaitingStep(msgspec.Struct, kw_only=True):
     """A step with tasks that wait, as the order of the queue sees it.
 
     Attributes:
@@ -36,8 +36,8 @@
         slack_ms = self.slack_ms(now_ms)
         if slack_ms >= 0:
             return 0
-        grace_ms = (LATE_FACTOR - 1) * self.objective_ms
-        return MISSED if slack_ms + grace_ms >= 0 else LOST
+        grace_ms = (TOO_LATE_FACTOR - 1) * self.objective_ms
+        return LATE if slack_ms + grace_ms >= 0 else TOO_LATE
 
 
 def ranking(name):
@@ -60,12 +60,12 @@
 def by_slack(waiting, now_ms):
     """Urgent work first; then what can still be in time, by its slack."""
     lateness = waiting.lateness(now_ms)
-    if waiting.priority == 0 and lateness < LOST:
+    if waiting.priority == 0 and lateness < TOO_LATE:
         return (0, lateness, waiting.arrived_ms)
     return (1 + lateness, 0, waiting.slack_ms(now_ms))
 
 
-def objective_ms(rule, chain_ms, advice_ms=0.0):
+def objective_ms(rule, critical_path_ms, advice_ms=0.0):
     """Returns the latency objective of a job.
 
     Args:
@@ -73,4 +73,4 @@
         chain_ms: Longest chain of work.
         advice_ms: Calls for advice along the chain.
     """
-    return rule.stretch * (chain_ms + advice_ms) + rule.target_ms
+    return rule.stretch * (critical_path_ms + advice_ms) + rule.target_ms
--- a/packages/cicadafold/src/cicadafold/scheduling/reservation.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/reservation.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from cicadafold.scheduling import rooms
+from cicadafold.scheduling import views
 
-__all__ = ["FutureRoom", "Reservation", "reserve"]
+__all__ = ["FutureCapacity", "Reservation", "reserve"]
 
 
-class FutureRoom(msgspec.Struct):
+class FutureCapacity(msgspec.Struct):
     """A worker's free room, and what becomes free when.
 
     Attributes:
@@ -21,7 +21,7 @@
         ends: Expected milliseconds until each run ends, with its room.
     """
 
-    host: rooms.HostRoom
+    host: views.WorkerView
     ends: list
 
 
@@ -33,7 +33,7 @@
         hosts: Names of the workers.
     """
 
-    in_ms: float
+    fits_in_ms: float
     hosts: frozenset
 
 
@@ -49,7 +49,7 @@
     """
     steps = []
     for future in futures:
-        steps.extend(growth(demand, future))
+        steps.extend(capacity_gains(demand, future))
     steps.sort(key=lambda step: step[0])
     missing = demand.tasks
     chosen = set()
@@ -61,15 +61,15 @@
     return None
 
 
-def growth(demand, future):
+def capacity_gains(demand, future):
     """Yields when a worker can hold how many more tasks of a gang."""
-    host = msgspec.structs.replace(future.host)
-    held = demand.fitting(host)
+    worker = msgspec.structs.replace(future.host)
+    held = demand.max_tasks_on(worker)
     if held:
-        yield 0.0, host.id, held
-    for in_ms, room in sorted(future.ends, key=lambda end: end[0]):
-        host.give(room)
-        fitting = demand.fitting(host)
+        yield 0.0, worker.id, held
+    for in_ms, resources in sorted(future.ends, key=lambda end: end[0]):
+        worker.release(resources)
+        fitting = demand.max_tasks_on(worker)
         if fitting > held:
-            yield in_ms, host.id, fitting - held
+            yield in_ms, worker.id, fitting - held
             held = fitting
--- a/packages/cicadafold/src/cicadafold/scheduling/tests/test_decisions.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/tests/test_decisions.py
@@ -7,9 +7,9 @@
 from cicadafold.scheduling import placement
 from cicadafold.scheduling import ranking
 from cicadafold.scheduling import reservation
-from cicadafold.scheduling import rooms
+from cicadafold.scheduling import views
 
-RATE = placement.POLICIES["best-fit"]
+SCORE = placement.POLICIES["best-fit"]
 
 
 @pytest.fixture
@@ -18,7 +18,7 @@
     made = {}
     for number in range(4):
         rack = f"r1-{number // 2}"
-        made[f"h{number}"] = rooms.HostRoom(
+        made[f"h{number}"] = views.WorkerView(
             id=f"h{number}",
             rack=rack,
             domain="d",
@@ -33,20 +33,20 @@
 def demand(tasks, cores_milli=1000, **fields):
     """Returns a demand."""
     need = model.Resources(cores_milli, 10, 0)
-    return rooms.Demand(tasks=tasks, need=need, **fields)
+    return views.Demand(tasks=tasks, need=need, **fields)
 
 
 def test_gang_is_placed_whole_or_not_at_all(hosts):
     """A gang that does not fit takes no room."""
-    assert placement.place(demand(17, gang=True), hosts, rate=RATE) == []
+    assert placement.place(demand(17, gang=True), hosts, score=SCORE) == []
     assert hosts["h0"].cores_milli == 4000
-    chosen = placement.place(demand(16, gang=True), hosts, rate=RATE)
+    chosen = placement.place(demand(16, gang=True), hosts, score=SCORE)
     assert len(chosen) == 16
 
 
 def test_no_host_is_overfilled(hosts):
     """Tasks beyond the room stay unplaced."""
-    chosen = placement.place(demand(30, 1500), hosts, rate=RATE)
+    chosen = placement.place(demand(30, 1500), hosts, score=SCORE)
     assert len(chosen) == 8
     assert all(host.cores_milli >= 0 for host in hosts.values())
 
@@ -57,24 +57,24 @@
         9,
         label="a",
         per_host=2,
-        present={"h1": 1},
+        running_per_worker={"h1": 1},
         allowed={"h1": "t", "h2": "t", "h3": "t"},
     )
-    chosen = placement.place(wanted, hosts, rate=RATE)
+    chosen = placement.place(wanted, hosts, score=SCORE)
     assert sorted(chosen) == ["h1", "h3", "h3"]
 
 
 def test_gang_stays_in_one_rack_if_it_can(hosts):
     """A gang that is slowed by two racks gets one."""
     chosen = placement.place(
-        demand(8, gang=True, one_rack=True), hosts, rate=RATE
+        demand(8, gang=True, one_rack=True), hosts, score=SCORE
     )
     assert len({hosts[name].rack for name in chosen}) == 1
 
 
 def test_data_rack_comes_first(hosts):
     """Tasks go to the rack of their data while there is room."""
-    chosen = placement.place(demand(8, data_rack="r1-1"), hosts, rate=RATE)
+    chosen = placement.place(demand(8, data_rack="r1-1"), hosts, score=SCORE)
     assert {hosts[name].rack for name in chosen} == {"r1-1"}
 
 
@@ -83,12 +83,12 @@
     used = model.Resources(4000, 10, 0)
     futures = []
     for number, host in enumerate(hosts.values()):
-        host.take(used)
+        host.reserve(used)
         ends = [(1000.0 * (4 - number), used)]
-        futures.append(reservation.FutureRoom(host, ends))
+        futures.append(reservation.FutureCapacity(host, ends))
     found = reservation.reserve(demand(8, gang=True), futures)
     assert found.hosts == {"h2", "h3"}
-    assert found.in_ms == 2000.0
+    assert found.fits_in_ms == 2000.0
     assert reservation.reserve(demand(17, gang=True), futures) is None
 
 
@@ -97,7 +97,7 @@
     rank = ranking.RANKINGS["slack"]
 
     def waiting(priority, objective_ms, arrived_ms=0.0):
-        return ranking.Waiting(
+        return ranking.WaitingStep(
             priority=priority,
             arrived_ms=arrived_ms,
             objective_ms=objective_ms,
@@ -119,12 +119,12 @@
         model.StepSpec(tasks=1, estimate_ms=300),
         model.StepSpec(tasks=1, estimate_ms=50, after=(0, 1)),
     ]
-    assert estimates.chain_ms(steps, lambda s: s.estimate_ms) == 350
+    assert estimates.critical_path_ms(steps, lambda s: s.estimate_ms) == 350
 
 
 def test_learned_durations_correct_declared_ones():
     """Declared estimates that are far off move towards the mean."""
-    learned = estimates.Estimates()
+    learned = estimates.DurationEstimates()
     for _ in range(300):
-        learned.learn("q", 1000.0)
-    assert 100.0 < learned.task_ms("q", 100.0) < 1000.0
+        learned.record_duration("q", 1000.0)
+    assert 100.0 < learned.task_duration_ms("q", 100.0) < 1000.0
--- a/packages/cicadafold/src/cicadafold/scheduling/rooms.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/views.py
@@ -4,12 +4,12 @@
 
 from cicadafold.jobs import model
 
-__all__ = ["Demand", "HostRoom", "rack_of"]
+__all__ = ["Demand", "WorkerView", "rack_of"]
 
 RACK_PREFIX = "r"
 
 
-class HostRoom(msgspec.Struct):
+class WorkerView(msgspec.Struct):
     """A worker as placement sees it; its room shrinks with each choice.
 
     Attributes:
@@ -32,28 +32,28 @@
     accelerators: int
     speed: float = 1.0
 
-    def holds(self, need):
+    def max_tasks(self, resources):
         """Returns how many tasks of a size fit into the free room."""
         counts = [
             free // size
             for free, size in (
-                (self.cores_milli, need.cores_milli),
-                (self.memory_mb, need.memory_mb),
-                (self.accelerators, need.accelerators),
+                (self.cores_milli, resources.cores_milli),
+                (self.memory_mb, resources.memory_mb),
+                (self.accelerators, resources.accelerators),
             )
             if size > 0
         ]
         return max(0, min(counts)) if counts else UNBOUNDED
 
-    def take(self, need, count=1):
+    def reserve(self, resources, count=1):
         """Takes room for tasks."""
-        self.cores_milli -= need.cores_milli * count
-        self.memory_mb -= need.memory_mb * count
-        self.accelerators -= need.accelerators * count
+        self.cores_milli -= resources.cores_milli * count
+        self.memory_mb -= resources.memory_mb * count
+        self.accelerators -= resources.accelerators * count
 
-    def give(self, need, count=1):
+    def release(self, resources, count=1):
         """Gives back room of tasks."""
-        self.take(need, -count)
+        self.reserve(resources, -count)
 
 
 UNBOUNDED = 1_000_000
@@ -82,19 +82,19 @@
     label: str = ""
     data_rack: str = ""
     per_host: int = 0
-    present: dict = {}
+    running_per_worker: dict = {}
     allowed: object = None
     avoid: object = ()
 
-    def fitting(self, host):
+    def max_tasks_on(self, worker):
         """Returns how many of the tasks a worker can take now."""
-        if self.allowed is not None and host.id not in self.allowed:
+        if self.allowed is not None and worker.id not in self.allowed:
             return 0
-        if self.label and self.label not in host.labels:
+        if self.label and self.label not in worker.labels:
             return 0
-        count = host.holds(self.need)
+        count = worker.max_tasks(self.need)
         if self.per_host:
-            left = self.per_host - self.present.get(host.id, 0)
+            left = self.per_host - self.running_per_worker.get(worker.id, 0)
             count = min(count, max(0, left))
         return min(count, self.tasks)
 
