--- a/packages/cicadafold/src/cicadafold/dispatch/advising.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/advising.py
@@ -59,7 +59,7 @@
         store_age_ms: Coroutine function that tells how long ago the store
             answered the host, None for this process itself.
         take_over: Coroutine function that asks the host to claim a term.
-        strength: How well the host can carry a scheduler.
+        election_priority: How well the host can carry a scheduler.
     """
 
     def __init__(
--- a/packages/cicadafold/src/cicadafold/dispatch/job_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/job_table.py
@@ -28,9 +28,9 @@
         metrics: Where ended jobs are counted.
     """
 
-    def __init__(self, *, journal, durations, stop_run, metrics):
+    def __init__(self, *, journal, estimates, stop_run, metrics):
         self.journal = journal
-        self.durations = durations
+        self.estimates = estimates
         self.stop_run = stop_run
         self.metrics = metrics
         self.jobs = {}
@@ -71,7 +71,7 @@
         rule = job.rule
         chain = estimates.critical_path_ms(
             job.spec.steps,
-            lambda step: self.durations.task_duration_ms(
+            lambda step: self.estimates.task_duration_ms(
                 rule.name, step.estimate_ms
             ),
         )
--- a/packages/cicadafold/src/cicadafold/dispatch/pacing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/pacing.py
@@ -82,7 +82,7 @@
     async def send_pace(self, link, run, percent, worst_ratio):
         """Orders one pace."""
         try:
-            await link.calls.pace(
+            await link.client.pace(
                 run.name, run.attempt, percent, timeout_s=COMMAND_TIMEOUT_S
             )
         except exception.TargetUnreachable as error:
--- a/packages/cicadafold/src/cicadafold/dispatch/placing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/placing.py
@@ -58,7 +58,7 @@
         *,
         term,
         table,
-        durations,
+        estimates,
         workers,
         links,
         all_runs_known,
@@ -69,7 +69,7 @@
     ):
         self.term = term
         self.table = table
-        self.durations = durations
+        self.estimates = estimates
         self.workers = workers
         self.links = links
         self.all_runs_known = all_runs_known
@@ -167,7 +167,7 @@
             task = run.task
             if task is None or task.step.spec.lasting:
                 continue
-            expected_ms = self.durations.step_task_duration_ms(task.step)
+            expected_ms = self.estimates.step_task_duration_ms(task.step)
             ran_ms = now_ms - run.started_ms
             left_ms = estimates.remaining_ms(expected_ms, ran_ms, run.percent)
             ends.append((left_ms, run.room))
@@ -181,7 +181,7 @@
         """
         last, never = set(), set()
         job = step.job
-        task_ms = self.durations.step_task_duration_ms(step)
+        task_ms = self.estimates.step_task_duration_ms(step)
         for name, (until_ms, gang) in self.reserved.items():
             if gang is step:
                 continue
@@ -221,7 +221,7 @@
     def rank_of(self, step, now_ms):
         """Returns the rank of a step, made unique by its name."""
         job = step.job
-        task_ms = self.durations.step_task_duration_ms(step)
+        task_ms = self.estimates.step_task_duration_ms(step)
         waiting = ranking.WaitingStep(
             priority=job.rule.priority,
             arrived_ms=job.due_ms(step.occurrence),
@@ -334,7 +334,7 @@
         task = run.task
         if not self.commands_allowed():
             # Placed before a stall of this process; nothing was sent.
-            link.events.vanished(worker, run, "stalled")
+            link.events.on_run_gone(worker, run, "stalled")
             return
         command = worker_calls.StartOrder(
             name=task.name,
--- a/packages/cicadafold/src/cicadafold/dispatch/watching.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/watching.py
@@ -51,7 +51,7 @@
             await asyncio.sleep(PERIOD_S)
             now_ms = clock.monotonic_ms()
             self.update_speeds(now_ms)
-            self.events.stop_unknown()
+            self.events.stop_unknown_runs()
             for worker in list(self.workers.values()):
                 self.check_worker(worker, now_ms)
                 self.move_runs_from(worker, now_ms)
