--- a/packages/cicadafold/src/cicadafold/dispatch/advising.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/advising.py
@@ -121,7 +121,7 @@
                 still_queued.append(item)
                 continue
             peer.busy += 1
-            item.step.asking = True
+            item.step.advice_pending = True
             self.spawn(self.ask(peer, item))
         self.queued = list(still_queued)
 
@@ -139,7 +139,7 @@
     async def ask(self, peer, item):
         """Makes one call and notes its tickets."""
         step = item.step
-        step.asked_ms = clock.monotonic_ms()
+        step.advice_requested_ms = clock.monotonic_ms()
         valid_ms = step.job.rule.advice.valid_ms
         try:
             granted = await peer.ask(
@@ -165,7 +165,7 @@
             self.record_tickets(step, item, granted, valid_ms)
         finally:
             peer.busy -= 1
-            step.asking = False
+            step.advice_pending = False
         self.dispatch_queued()
         self.wake()
 
@@ -173,11 +173,11 @@
         """Notes the tickets of a step."""
         self.metrics.count("advice_calls")
         until_ms = clock.monotonic_ms() + valid_ms - TICKET_MARGIN_MS
-        if step.allowed is None:
-            step.allowed = {}
+        if step.allowed_by_worker is None:
+            step.allowed_by_worker = {}
             self.record_permitted_share(step, len(item.workers), len(granted))
         for worker in item.workers:
-            step.allowed[worker] = worker in granted
+            step.allowed_by_worker[worker] = worker in granted
         for worker, ticket in granted.items():
             step.tickets[worker] = (ticket, until_ms)
         LOG.info(
@@ -187,6 +187,8 @@
                 "step": step.number,
                 "asked": len(item.workers),
                 "granted": len(granted),
-                "took_ms": round(clock.monotonic_ms() - step.asked_ms),
+                "took_ms": round(
+                    clock.monotonic_ms() - step.advice_requested_ms
+                ),
             },
         )
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_record_cleanup.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_record_cleanup.py
@@ -23,7 +23,7 @@
 
     return record_cleanup.RecordCleaner(
         store=types.SimpleNamespace(append=append),
-        journal=types.SimpleNamespace(drop=dropped.append),
+        journal=types.SimpleNamespace(record_removal=dropped.append),
         status_s=120.0,
         on_end_dropped=forgotten.append,
     )
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
@@ -122,7 +122,9 @@
         )
         if task is None:
             return self.on_closed_task_end(end)
-        task.save(end.checkpoint, run.percent if run else LEAST_PERCENT)
+        task.save_checkpoint(
+            end.checkpoint, run.percent if run else LEAST_PERCENT
+        )
         if task.step.spec.lasting:
             return self.on_lasting_task_end(task)
         if end.kind is Kind.DONE:
@@ -143,9 +145,9 @@
         job = (
             None if end.name is None else self.job_table.jobs.get(end.name.job)
         )
-        if job is None or job.shown.final:
+        if job is None or job.reported_state.final:
             return 0
-        return self.job_table.journal.change(job)
+        return self.job_table.journal.record_job(job)
 
     def on_lasting_task_end(self, task):
         """Lets a lasting task start again, however it ended."""
@@ -166,10 +168,10 @@
 
     def on_task_failed(self, worker, task, end):
         """Applies a failure, and judges the worker by it."""
-        if not task.step.avoid - {worker.report.id}:
+        if not task.step.avoided_workers - {worker.report.id}:
             # A step that failed elsewhere before may be at fault itself.
             self.quarantine_if_faulty(worker, task.step.job.spec.id)
-        task.step.avoid.add(worker.report.id)
+        task.step.avoided_workers.add(worker.report.id)
         if task.done:
             return 0
         if task.step.spec.gang:
@@ -197,7 +199,7 @@
 
     def restart_gang(self, step, attempt):
         """Stops what is left of a gang's run, so that it starts anew."""
-        step.held_until_ms = clock.monotonic_ms() + GANG_PAUSE_MS
+        step.gang_not_before_ms = clock.monotonic_ms() + GANG_PAUSE_MS
         self.stop_attempt(step, attempt)
 
     def stop_attempt(self, step, attempt):
@@ -256,7 +258,7 @@
         worker.add(run)
         if keep:
             job.started = True
-            task.save(row.checkpoint, row.percent)
+            task.save_checkpoint(row.checkpoint, row.percent)
         LOG.info(
             "A run of an earlier term is adopted."
             if keep
@@ -304,4 +306,4 @@
     """Returns the room of a task, its worker's if it is not known."""
     if job is None or not 0 <= name.step < len(job.spec.steps):
         return worker.report.capacity
-    return job.spec.steps[name.step].room
+    return job.spec.steps[name.step].reserved_resources
