--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_fleet.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_fleet.py
@@ -362,7 +362,7 @@
             "explain", job, str(node.log), options=False
         )
         assert code == 0
-        for part in ("accepted", "Tasks are started", "A job has ended"):
+        for part in ("accepted", "Starting tasks of a step", "Job ended"):
             assert part in story
         code, _ = await cicadafold("submit", str(node.log))
         assert code == 2
--- a/packages/cicadafold/src/cicadafold/dispatch/__init__.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/__init__.py
@@ -1,1 +1,5 @@
-"""Runs of tasks on workers: starts, leases, ends, recovery."""
+"""The scheduler of one term: starts tasks on workers and follows them.
+
+Placement of waiting tasks, worker leases, end reports and the recovery of
+what earlier terms left running.
+"""
--- a/packages/cicadafold/src/cicadafold/dispatch/advising.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/advising.py
@@ -1,8 +1,8 @@
-"""Spreads calls for advice over the hosts of the cell.
+"""Distributes advice calls over the processes of the cell.
 
-The advice service answers one call at a time for each calling host. Long
-calls of patient queues are kept off some hosts, so that the short calls of
-urgent queues never wait behind them.
+The advice service answers one call at a time for each calling host. Some of
+the peers make short calls only, so that the short calls of urgent queues
+never wait for the long calls of patient queues.
 """
 
 import collections
@@ -15,28 +15,32 @@
 
 __all__ = ["AdviceDispatcher", "PeerHandle", "AdviceRequest"]
 
-# Calls up to this duration count as short.
+# Longest expected duration of a call that counts as short.
 MAX_SHORT_CALL_MS = 80.0
-# One host in this many takes short calls only.
+# One peer in this many makes short calls only.
 PEERS_PER_SHORT_ONLY_PEER = 4
-# A second short call is on its way while the first is answered.
+# Calls that such a peer makes at a time: one waits at the service while the
+# other is answered.
 SHORT_CALLS_PER_PEER = 2
+# A call times out this long after its expected duration.
 ANSWER_SLACK_MS = 900.0
-# A ticket has to reach its worker before it expires.
+# A ticket is not used in the last part of its validity, as it has to reach
+# its worker before it expires.
 TICKET_MARGIN_MS = 120.0
+# Pause before a peer whose call failed is used again.
 RETRY_PAUSE_MS = 100.0
 
 LOG = logs.get_logger("advice")
 
 
 class AdviceRequest(msgspec.Struct):
-    """A call for advice that a step needs.
+    """A queued advice call for a step.
 
     Attributes:
-        rank: Rank of the step; lower ranks are asked first.
+        rank: Rank of the step; requests with lower ranks are sent first.
         step: Step that needs tickets.
-        workers: Names of the workers asked about.
-        cost_ms: Expected duration of the call.
+        workers: Names of the workers to ask about.
+        cost_ms: Expected duration of the call in milliseconds.
     """
 
     rank: tuple
@@ -46,20 +50,29 @@
 
     @property
     def short(self):
-        """Whether the call is a short one."""
+        """Whether the call is expected to be short."""
         return self.cost_ms <= MAX_SHORT_CALL_MS
 
 
 class PeerHandle:
-    """One host that can ask the advice service.
+    """What the scheduler uses to call one process of the cell.
 
     Args:
-        member: Name of the host's process.
-        ask: Coroutine function with the arguments of ``AdviceCalls.advise``.
-        store_age_ms: Coroutine function that tells how long ago the store
-            answered the host, None for this process itself.
-        take_over: Coroutine function that asks the host to claim a term.
-        election_priority: How well the host can carry a scheduler.
+        member: Name of the process.
+        ask: Coroutine function that makes an advice call from the process;
+            it has the arguments of ``AdviceCalls.advise``.
+        election_priority: How well the host of the process can carry the
+            scheduler; higher is better.
+        store_age_ms: Coroutine function that returns how many milliseconds
+            ago the store last answered the process, or None for the own
+            process.
+        take_over: Coroutine function that asks the process to claim the next
+            term, or None for the own process.
+
+    Attributes:
+        busy: Number of advice calls under way.
+        paused_until_ms: Monotonic time in milliseconds before which no
+            advice call is made.
     """
 
     def __init__(
@@ -81,14 +94,19 @@
 
 
 class AdviceDispatcher:
-    """Sends wanted calls to free lines, in order of rank.
+    """Requests placement advice through free peers, in order of rank.
 
     Args:
-        lines: Function that returns the lines there are now.
+        peers: Function that returns the handles of all processes that are
+            connected now, including the own one.
         spawn: Function that runs a coroutine as a task.
-        wake: Function called when tickets have come.
-        learn: Function called with step, workers asked about and granted.
-        metrics: Where calls are counted.
+        wake: Function called after each call, so that its tickets are used.
+        record_permitted_share: Function called with a step, the number of
+            workers asked about and the number of workers granted.
+        metrics: Metrics in which calls are counted.
+
+    Attributes:
+        queued: Requests that are not sent yet, lowest rank first.
     """
 
     def __init__(self, *, peers, spawn, wake, record_permitted_share, metrics):
@@ -100,12 +118,16 @@
         self.queued = []
 
     def replace_queue(self, queued):
-        """Takes what is wanted now and sends what can be sent."""
+        """Replaces the queued requests and sends as many as possible."""
         self.queued = sorted(queued, key=lambda item: item.rank)
         self.dispatch_queued()
 
     def dispatch_queued(self):
-        """Sends calls to the lines that are free."""
+        """Sends queued requests through the peers that are free.
+
+        The first quarter of the peers, at least one if there are several,
+        makes short calls only.
+        """
         if not self.queued:
             return
         now_ms = clock.monotonic_ms()
@@ -126,7 +148,13 @@
         self.queued = list(still_queued)
 
     def free_peer(self, item, peers, short_only):
-        """Returns a line that may take a call now, or None."""
+        """Returns a peer that may make a call now, or None.
+
+        Args:
+            item: Request.
+            peers: Handles of the peers that are not paused.
+            short_only: Number of the first peers that make short calls only.
+        """
         if item.short:
             for peer in peers[:short_only]:
                 if peer.busy < SHORT_CALLS_PER_PEER:
@@ -137,7 +165,11 @@
         return None
 
     async def ask(self, peer, item):
-        """Makes one call and notes its tickets."""
+        """Makes one advice call and records the granted tickets.
+
+        If the call fails, its peer is paused; the next placement pass
+        requests the advice again.
+        """
         step = item.step
         step.advice_requested_ms = clock.monotonic_ms()
         valid_ms = step.job.rule.advice.valid_ms
@@ -155,7 +187,7 @@
             exception.LinkNotOpen,
         ) as error:
             LOG.warning(
-                "Advice was not given: %s",
+                "Advice call failed, pausing its peer before a retry: %s",
                 error,
                 fields={"request_id": step.job.spec.id, "line": peer.member},
             )
@@ -170,7 +202,14 @@
         self.wake()
 
     def record_tickets(self, step, item, granted, valid_ms):
-        """Notes the tickets of a step."""
+        """Records which workers a step is permitted to use, and its tickets.
+
+        Args:
+            step: Step.
+            item: Request that was answered.
+            granted: Tickets by name of the permitted workers.
+            valid_ms: Validity of the tickets in milliseconds.
+        """
         self.metrics.count("advice_calls")
         until_ms = clock.monotonic_ms() + valid_ms - TICKET_MARGIN_MS
         if step.allowed_by_worker is None:
@@ -181,7 +220,7 @@
         for worker, ticket in granted.items():
             step.tickets[worker] = (ticket, until_ms)
         LOG.info(
-            "Advice was given.",
+            "Received placement advice for a step.",
             fields={
                 "request_id": step.job.spec.id,
                 "step": step.number,
--- a/packages/cicadafold/src/cicadafold/dispatch/job_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/job_table.py
@@ -1,4 +1,4 @@
-"""All jobs that a scheduler knows, and how their states change."""
+"""The jobs that a scheduler knows, and the changes of their states."""
 
 from cicadafold import clock
 from cicadafold.jobs import model
@@ -11,7 +11,7 @@
 __all__ = ["JobTable"]
 
 MILLISECONDS = 1000.0
-# Calls for advice name about this many workers.
+# Assumed number of workers in an advice call, for the latency objective.
 ADVISED_WORKERS = 24
 
 LOG = logs.get_logger("jobs")
@@ -19,13 +19,19 @@
 
 
 class JobTable:
-    """Jobs by identifier, and their states.
+    """Jobs by identifier, and the changes of their states.
 
     Args:
-        journal: Writer of progress.
-        estimates: Expected durations.
-        stop_run: Function called with each run that should be stopped.
-        metrics: Where ended jobs are counted.
+        journal: Writer of job progress to the journal.
+        estimates: Duration estimates.
+        stop_run: Function called with each run attempt to stop.
+        metrics: Metrics in which ended jobs are counted.
+
+    Attributes:
+        jobs: All jobs with a description, by identifier.
+        active: Those of them that have not ended.
+        ended: Final states of jobs whose description has been dropped.
+        rules: Configured rules by name of the queue.
     """
 
     def __init__(self, *, journal, estimates, stop_run, metrics):
@@ -39,17 +45,22 @@
         self.rules = {}
 
     def configure(self, configuration):
-        """Takes the rules of a new configuration."""
+        """Applies the queue rules of a new configuration to active jobs.
+
+        A job whose queue is no longer configured falls back to the rule with
+        which it was accepted.
+        """
         self.rules = configuration.queues
         for job in self.active.values():
             job.rule = self.rules.get(job.spec.queue, job.spec.rule)
 
     def add(self, spec, *, inherited=False):
-        """Adds an accepted job.
+        """Adds an accepted job and returns its running state.
 
         Args:
             spec: Description of the job.
-            inherited: Whether an earlier scheduler may have started it.
+            inherited: Whether a scheduler of an earlier term may have
+                started tasks of it.
         """
         now_ms = clock.monotonic_ms()
         wall_ms = clock.wall_ms()
@@ -67,7 +78,7 @@
         return job
 
     def objective(self, job):
-        """Returns the latency objective of a job in milliseconds."""
+        """Returns the latency objective of a job, in milliseconds."""
         rule = job.rule
         chain = estimates.critical_path_ms(
             job.spec.steps,
@@ -82,7 +93,13 @@
         return ranking.objective_ms(rule, chain, advice_ms)
 
     def restore(self, spec, progress, *, cancelled):
-        """Adds a job of the journal with its recorded progress."""
+        """Adds a job from the journal and returns its running state.
+
+        Args:
+            spec: Description of the job.
+            progress: Recorded progress, or None if there is none.
+            cancelled: Whether a cancellation is recorded.
+        """
         job = self.add(spec, inherited=True)
         if progress is not None:
             records.apply_progress(job, progress)
@@ -94,29 +111,38 @@
         return job
 
     def restore_ended(self, job_id, progress):
-        """Takes a job whose end is recorded and whose description is gone."""
+        """Adds an ended job whose description has been dropped.
+
+        Args:
+            job_id: Identifier of the job.
+            progress: Recorded progress, which holds its state.
+        """
         state = State(progress.state)
         if state.final:
             self.ended[job_id] = state
 
     def forget(self, job_id):
-        """Forgets an ended job."""
+        """Removes an ended job from the table."""
         self.jobs.pop(job_id, None)
         self.ended.pop(job_id, None)
 
     def find(self, name):
-        """Returns the task of a name, None if it is not known."""
+        """Returns the task with a name, or None if it is not known."""
         job = self.jobs.get(name.job)
         return None if job is None else job.find_task(name)
 
     def is_unknown(self, name):
-        """Whether nothing is known of the job of a task."""
+        """Whether the job of a task is neither known nor recorded as ended.
+
+        Args:
+            name: Name of the task; for None the result is False.
+        """
         if name is None:
             return False
         return name.job not in self.jobs and name.job not in self.ended
 
     def count_unstarted(self, queue):
-        """Returns how many jobs of a queue have not started."""
+        """Returns how many active jobs of a queue have not started."""
         return sum(
             1
             for job in self.active.values()
@@ -124,20 +150,32 @@
         )
 
     def cancel(self, job):
-        """Cancels a job and stops what runs of it."""
+        """Cancels a job and stops its run attempts, unless it has ended."""
         if job.state.final:
             return
         self.end_job(job, State.CANCELLED, "its caller cancelled it")
-        # The cancelling itself is recorded, so it may be shown at once.
+        # The cancellation request is recorded already, so callers may see the
+        # state at once.
         job.reported_state = State.CANCELLED
 
     def fail(self, job, reason):
-        """Ends a job as failed."""
+        """Ends a job as failed, unless it has ended.
+
+        Args:
+            job: Job.
+            reason: Reason for the log line.
+        """
         if not job.state.final:
             self.end_job(job, State.FAILED, reason)
 
     def end_job(self, job, state, reason):
-        """Sets a final state, stops all runs and records it."""
+        """Ends a job: stops its run attempts and records the final state.
+
+        Args:
+            job: Job.
+            state: Final state.
+            reason: Reason for the log line.
+        """
         now_ms = clock.monotonic_ms()
         for run in job.runs():
             self.stop_run(run)
@@ -147,7 +185,7 @@
         took_ms = now_ms - job.arrived_ms
         self.metrics.count("jobs_ended", state=state.value)
         LOG.info(
-            "A job has ended: %s.",
+            "Job ended: %s.",
             reason,
             fields={
                 "request_id": job.spec.id,
@@ -159,11 +197,17 @@
         )
 
     def deactivate(self, job):
-        """Takes a job out of the active ones."""
+        """Removes a job from the active jobs."""
         self.active.pop(job.spec.id, None)
 
     def complete_task(self, task):
-        """Marks a task, or its whole gang, as done."""
+        """Marks a task, or its whole gang, as done.
+
+        Other run attempts of a task that is not in a gang are stopped.
+
+        Returns:
+            Number of the journal batch that records the change.
+        """
         step = task.step
         members = step.tasks if step.spec.gang else (task,)
         for member in members:
@@ -177,7 +221,10 @@
         return self.journal.record_job(job)
 
     def close_if_done(self, job, occurrence):
-        """Closes an occurrence, and the job, when all is done."""
+        """Closes an occurrence whose steps are all done.
+
+        The job is completed when its last occurrence is closed.
+        """
         steps = job.steps.get(occurrence)
         if steps is None or not all(step.done for step in steps):
             return
@@ -186,18 +233,30 @@
             self.end_job(job, State.COMPLETED, "all tasks are done")
 
     def record_task_failure(self, task, attempt):
-        """Counts a failed run; too many end the job."""
+        """Records a failed run attempt of a task.
+
+        Attempts are counted by number, for a gang over all its tasks. The
+        job fails when the rule of its queue permits no more failures.
+
+        Returns:
+            Number of the journal batch that records the failure.
+        """
         step = task.step
         job = step.job
         counted = step if step.spec.gang else task
         counted.failed_attempts.add(attempt)
         count = len(counted.failed_attempts)
         if count >= job.rule.max_failures:
-            self.fail(job, f"a task has failed {count} times")
+            self.fail(job, f"a task failed {count} times, the limit")
         return self.journal.record_job(job)
 
     def on_durable(self, states):
-        """Shows the final states that are now recorded."""
+        """Makes recorded final states visible to callers.
+
+        Args:
+            states: Pairs of a job and the state of it that is now durable in
+                the journal.
+        """
         for job, state in states:
             if state.final:
                 job.reported_state = state
--- a/packages/cicadafold/src/cicadafold/dispatch/pacing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/pacing.py
@@ -1,4 +1,9 @@
-"""Paces tasks that fill, so that tasks that serve keep their targets."""
+"""Paces filler tasks, so that serving tasks keep their tail latency.
+
+A filler task (``fills`` in its step) only uses cores that other tasks leave
+unused. It runs beside serving tasks, which have a target for their tail
+latency. Its pace is the percentage of its speed at which it may run.
+"""
 
 import asyncio
 
@@ -11,23 +16,27 @@
 
 PERIOD_S = 0.5
 COMMAND_TIMEOUT_S = 0.7
-# Shares of the target above which fills are slowed, below which they gain.
+# Ratios of tail latency to target above which filler tasks are slowed down
+# and below which they are sped up.
 SLOW_DOWN_RATIO = 0.85
 SPEED_UP_RATIO = 0.6
+# Factor on the pace when slowing down, and percent added when speeding up.
 SLOW_DOWN_FACTOR = 0.5
 SPEED_UP_PERCENT = 8
 FULL_PERCENT = 100
+# A pace below this becomes 0.
 MIN_PERCENT = 4
 
 LOG = logs.get_logger("pacing")
 
 
 def next_pace(percent, worst_ratio):
-    """Returns the next pace of the fills on a worker.
+    """Returns the next pace of a filler task, 0 to 100 percent.
 
     Args:
-        percent: Pace now, 0 to 100.
-        tightest: Largest ratio of tail latency to target on the worker.
+        percent: Current pace, 0 to 100 percent.
+        worst_ratio: Largest ratio of tail latency to target among the
+            serving tasks on the worker.
 
     Examples:
         >>> next_pace(100, 0.9), next_pace(4, 1.2), next_pace(50, 0.3)
@@ -42,11 +51,11 @@
 
 
 class Pacer:
-    """Sets the pace of fills from the tail latencies beside them.
+    """Sets the pace of filler tasks by the tail latencies on their workers.
 
     Args:
         workers: Workers by name.
-        links: Links by the name of the worker.
+        links: Links to the workers by name of the worker.
     """
 
     def __init__(self, *, workers, links):
@@ -54,7 +63,7 @@
         self.links = links
 
     async def run(self):
-        """Looks at all workers again and again."""
+        """Updates the paces on all answering workers every half second."""
         while True:
             await asyncio.sleep(PERIOD_S)
             for name, worker in list(self.workers.items()):
@@ -62,7 +71,7 @@
                     await self.pace_worker(self.links[name], worker)
 
     async def pace_worker(self, link, worker):
-        """Paces the fills of one worker."""
+        """Updates the pace of the filler tasks on one worker."""
         fills, worst_ratio = [], 0.0
         for run in worker.runs.values():
             if run.task is None or run.state is not runs.RunState.RUNNING:
@@ -80,17 +89,27 @@
                 await self.send_pace(link, run, percent, worst_ratio)
 
     async def send_pace(self, link, run, percent, worst_ratio):
-        """Orders one pace."""
+        """Sends a pace command for one run attempt.
+
+        If the worker does not answer, the old pace is kept and the next
+        round tries again.
+
+        Args:
+            link: Link to the worker.
+            run: Run attempt of the filler task.
+            percent: New pace, 0 to 100 percent.
+            worst_ratio: Ratio that is logged as the reason.
+        """
         try:
             await link.client.pace(
                 run.name, run.attempt, percent, timeout_s=COMMAND_TIMEOUT_S
             )
         except exception.TargetUnreachable as error:
-            LOG.debug("A pace was not answered: %s", error)
+            LOG.debug("Pace command was not answered, retrying: %s", error)
             return
         run.pace = percent
         LOG.info(
-            "A task that fills is paced.",
+            "Changed the pace of a filler task.",
             fields={
                 "request_id": run.name.job,
                 "worker": run.worker.report.id,
--- a/packages/cicadafold/src/cicadafold/dispatch/placing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/placing.py
@@ -1,4 +1,4 @@
-"""Places waiting tasks: ranks steps, chooses workers, orders starts."""
+"""Places waiting tasks: ranks steps, chooses workers, sends starts."""
 
 import asyncio
 
@@ -16,41 +16,49 @@
 
 __all__ = ["Placer"]
 
-# Least time between two passes; several ends are answered by one pass.
+# Pause after a pass, so that one pass handles several ends.
 PASS_PAUSE_S = 0.006
-# A pass without an event, for tickets, pauses and schedules that run out.
+# Longest time without a pass; expiring tickets and due jobs request none.
 IDLE_PASS_S = 0.1
-# Attempt numbers of a term stand above those of all earlier terms.
+# Attempt numbers that a term may use; those of a later term are higher.
 ATTEMPTS_PER_TERM = 1_000_000
 MILLISECONDS = 1000.0
-# Gangs for which workers are kept at a time, and how far ahead.
+# Most gangs for which workers are reserved at a time.
 MAX_RESERVATIONS = 3
+# No workers are reserved for a gang that would fit later than this.
 MAX_RESERVATION_MS = 8000.0
-# Reservations are chosen anew this often.
+# Time between two computations of the reservations.
 RESERVE_PERIOD_MS = 120.0
-# A task may use a reserved worker if it ends well before it is needed.
+# A task may use a worker reserved for a gang if this multiple of its expected
+# duration ends before the gang is expected to start.
 BACKFILL_FACTOR = 1.2
 
-
 LOG = logs.get_logger("placing")
 Result = worker_calls.StartResult
 
 
 class Placer:
-    """Starts waiting tasks wherever there is room.
+    """Starts waiting tasks on workers with free capacity.
 
     Args:
-        term: Term of the scheduler.
-        table: Jobs.
-        learned: Expected durations.
+        term: Number of the scheduler's term.
+        table: Table of the jobs.
+        estimates: Duration estimates.
         workers: Workers by name.
-        links: Links by the name of the worker.
-        settled: Function that tells whether the workers of a pool are
-            known not to run tasks of an earlier scheduler.
-        steady: Function that tells whether orders may be given.
+        links: Links to the workers by name of the worker.
+        all_runs_known: Function that tells whether all run attempts of
+            earlier terms on the workers of a pool are known.
+        commands_allowed: Function that tells whether to send commands now.
         spawn: Function that runs a coroutine as a task.
-        lease: Times of leases.
-        metrics: Where starts are counted.
+        lease: Lease times.
+        metrics: Metrics in which starts are counted.
+
+    Attributes:
+        advice_dispatcher: Requester of advice, None without advice service.
+        reserved: Reservations by name of the worker: the monotonic time in
+            milliseconds when the gang is expected to start, and its step.
+        rank: Queue order; see ``ranking``.
+        score: Placement policy; see ``placement``.
     """
 
     def __init__(
@@ -88,11 +96,11 @@
         self.score = placement.POLICIES["best-fit"]
 
     def wake(self):
-        """Asks for a pass."""
+        """Requests a pass over the waiting steps."""
         self.pass_requested.set()
 
     async def run(self):
-        """Makes passes for as long as the term lasts."""
+        """Makes passes, on request and periodically, until the term ends."""
         while True:
             try:
                 async with asyncio.timeout(IDLE_PASS_S):
@@ -105,16 +113,18 @@
             await asyncio.sleep(PASS_PAUSE_S)
 
     def place_waiting_steps(self):
-        """Makes one pass over the waiting steps."""
+        """Places the tasks of the waiting steps in order of their rank.
+
+        Steps whose queue needs advice are only placed on workers with a valid
+        ticket; missing tickets are requested.
+        """
         now_ms = clock.monotonic_ms()
         ranked = self.waiting_steps(now_ms)
         if not ranked:
             return
         pools = self.scheduling_views(now_ms)
-        self.slow_workers = self.workers_slower_than(speeds.SLOW_SPEED)
-        self.very_slow_workers = self.workers_slower_than(
-            speeds.VERY_SLOW_SPEED
-        )
+        self.slow_workers = self.slower_than(speeds.SLOW_SPEED)
+        self.very_slow_workers = self.slower_than(speeds.VERY_SLOW_SPEED)
         requests = []
         unplaced = []
         for rank, step, tasks in ranked:
@@ -139,7 +149,7 @@
             self.advice_dispatcher.replace_queue(requests)
 
     def reserve(self, gangs, pools, now_ms):
-        """Keeps workers for the first gangs that did not fit."""
+        """Reserves workers for the first gangs that did not fit."""
         if now_ms - self.reserved_at_ms < RESERVE_PERIOD_MS:
             return
         self.reserved_at_ms = now_ms
@@ -164,7 +174,12 @@
                 self.reserved[name] = (now_ms + found.fits_in_ms, step)
 
     def expected_ends(self, worker, now_ms):
-        """Returns when the runs of a worker are expected to end."""
+        """Returns when the run attempts on a worker are expected to end.
+
+        Returns:
+            Pairs of expected remaining milliseconds and released resources,
+            without run attempts of unknown jobs and of lasting tasks.
+        """
         ends = []
         for run in worker.runs.values():
             task = run.task
@@ -177,10 +192,11 @@
         return ends
 
     def reserved_for_others(self, step, now_ms):
-        """Returns reserved workers that a step should or must not use.
+        """Returns the workers that are reserved for other steps.
 
         Returns:
-            Workers to use last, and workers not to use at all.
+            Names of workers to use last, and names of workers not to use, as
+            the gang would need them before a task of this step ends.
         """
         last, never = set(), set()
         job = step.job
@@ -195,7 +211,11 @@
         return last, never
 
     def waiting_steps(self, now_ms):
-        """Returns ranked steps with the tasks that wait."""
+        """Returns the steps with waiting tasks in order of their rank.
+
+        Jobs that an earlier term may have started are left out until all run
+        attempts in their pool are known.
+        """
         ranked = []
         for job in self.table.active.values():
             if job.inherited and not self.all_runs_known(job.rule.pool):
@@ -216,7 +236,7 @@
         return ranked
 
     def can_start(self, step, tasks, now_ms):
-        """Whether a step may start tasks; a gang waits until it is whole."""
+        """Whether a step may start: a gang needs all its tasks waiting."""
         if not step.spec.gang:
             return True
         return (
@@ -224,7 +244,7 @@
         )
 
     def rank_of(self, step, now_ms):
-        """Returns the rank of a step, made unique by its name."""
+        """Returns the rank of a step; ties are broken by its identity."""
         job = step.job
         task_ms = self.estimates.step_task_duration_ms(step)
         waiting = ranking.WaitingStep(
@@ -237,7 +257,7 @@
         return (rank, job.spec.id, step.occurrence, step.number)
 
     def scheduling_views(self, now_ms):
-        """Returns the free room of the usable workers by pool."""
+        """Returns the views of the usable workers by pool and name."""
         pools = {}
         for worker in self.workers.values():
             if worker.usable(now_ms):
@@ -245,8 +265,8 @@
                 pools.setdefault(pool, {})[name] = worker.scheduling_view()
         return pools
 
-    def workers_slower_than(self, share):
-        """Returns the workers below a share of the usual speed."""
+    def slower_than(self, share):
+        """Returns the names of workers below a share of the usual speed."""
         return {
             name
             for name, worker in self.workers.items()
@@ -254,7 +274,15 @@
         }
 
     def place_step(self, step, tasks, pool, tickets, now_ms):
-        """Places tasks of one step and orders their starts.
+        """Places tasks of one step and starts them.
+
+        Args:
+            step: Step.
+            tasks: Waiting tasks of the step.
+            pool: Views of the usable workers by name; capacity of the placed
+                tasks is reserved in them.
+            tickets: Valid tickets by name of the worker, None without advice.
+            now_ms: Monotonic time in milliseconds.
 
         Returns:
             Whether any task was placed.
@@ -295,7 +323,7 @@
         return True
 
     def demand(self, step, tasks=None, allowed=None, avoid=()):
-        """Returns what the waiting tasks of a step need."""
+        """Returns the demand of some or (``tasks`` is None) all tasks."""
         spec = step.spec
         return views.Demand(
             tasks=spec.tasks if tasks is None else tasks,
@@ -305,15 +333,13 @@
             label=spec.label,
             data_rack=spec.data_rack,
             per_host=spec.per_host,
-            running_per_worker=running_per_worker(step)
-            if spec.per_host
-            else {},
+            running_per_worker=count_runs(step) if spec.per_host else {},
             allowed=allowed,
             avoid=avoid,
         )
 
     def log_start(self, step, attempt, chosen, now_ms):
-        """Logs a decision to start tasks."""
+        """Logs and counts the starts of one attempt of a step."""
         self.metrics.count("starts", len(chosen), queue=step.job.rule.name)
         waited_ms = now_ms - step.ready_ms
         self.metrics.record_us(
@@ -322,7 +348,7 @@
             queue=step.job.rule.name,
         )
         LOG.info(
-            "Tasks are started.",
+            "Starting tasks of a step.",
             fields={
                 "request_id": step.job.spec.id,
                 "step": step.number,
@@ -335,12 +361,12 @@
         )
 
     async def start(self, run, ticket):
-        """Orders one run."""
+        """Sends the start command of a run attempt and handles the answer."""
         worker = run.worker
         link = self.links[worker.report.id]
         task = run.task
         if not self.commands_allowed():
-            # Placed before a stall of this process; nothing was sent.
+            # This process stalled after the placement; nothing was sent.
             link.events.on_run_gone(worker, run, "stalled")
             return
         command = worker_calls.StartOrder(
@@ -363,8 +389,8 @@
         self.wake()
 
 
-def running_per_worker(step):
-    """Returns how many tasks of a step each worker may have."""
+def count_runs(step):
+    """Returns how many tasks of a step may run on each worker, by name."""
     counts = {}
     for task in step.tasks:
         for run in task.runs:
--- a/packages/cicadafold/src/cicadafold/dispatch/record_cleanup.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/record_cleanup.py
@@ -1,7 +1,7 @@
-"""Drops records that are not needed any more.
+"""Drops journal records that are no longer needed.
 
-The description of a job is dropped once its end is recorded, which keeps
-short what a new scheduler has to read. The end itself is kept for as long as
+The description of a job is dropped as soon as its end is recorded, so that a
+new scheduler has less to read. The record of the end is kept for as long as
 callers may ask for it.
 """
 
@@ -15,8 +15,8 @@
 __all__ = ["RecordCleaner"]
 
 PERIOD_S = 1.0
-# A request that comes again after the end of its job, seconds later, still
-# finds the record of the end.
+# Ends are kept for this many times the promised period, so that a caller who
+# repeats a request seconds after that period still finds the end.
 END_KEPT_FACTOR = 1.5
 MILLISECONDS = 1000.0
 
@@ -24,16 +24,23 @@
 
 
 class RecordCleaner:
-    """Drops descriptions of ended jobs, and later their ends.
+    """Drops the descriptions of ended jobs, and later their ends.
 
     Args:
         store: Client of the store.
-        journal: Writer of progress.
-        status_s: Seconds for which the state of an ended job is kept.
-        forget: Function called with each job whose end is dropped.
+        journal: Writer of job progress to the journal.
+        status_s: Seconds for which callers may ask for the state of an ended
+            job.
+        on_end_dropped: Function called with the identifier of each job whose
+            end is dropped.
 
     Attributes:
-        homes: Partitions in which the records of a job lie.
+        kept_ms: Milliseconds for which an end is kept.
+        partitions: Sets of journal partitions that hold records of a job, by
+            identifier of the job.
+        ended: Identifiers of jobs whose description has to be dropped.
+        ends: Monotonic times in milliseconds at which jobs were added, by
+            identifier, oldest first.
     """
 
     def __init__(self, *, store, journal, status_s, on_end_dropped):
@@ -46,12 +53,16 @@
         self.ends = {}
 
     def add(self, job):
-        """Takes a job whose end is recorded."""
+        """Schedules the records of a job for dropping.
+
+        Args:
+            job: Identifier of a job whose end is recorded.
+        """
         self.ended.add(job)
         self.ends.setdefault(job, clock.monotonic_ms())
 
     async def run(self):
-        """Drops records for as long as the term lasts."""
+        """Drops records every ``PERIOD_S`` seconds until the term ends."""
         while True:
             await asyncio.sleep(PERIOD_S)
             self.drop_ends(clock.monotonic_ms())
@@ -63,7 +74,7 @@
                 await self.drop(partition, jobs)
 
     def drop_ends(self, now_ms):
-        """Drops ends that nobody asks for any more."""
+        """Drops the ends that have been kept long enough."""
         for job, ended_ms in list(self.ends.items()):
             if now_ms - ended_ms < self.kept_ms:
                 return
@@ -73,11 +84,18 @@
             self.on_end_dropped(job)
 
     async def drop(self, partition, jobs):
-        """Drops the descriptions of jobs from one partition."""
+        """Drops the descriptions of jobs from one partition.
+
+        If the store cannot be reached, the next round tries again.
+
+        Args:
+            partition: Number of the journal partition.
+            jobs: Identifiers of the jobs.
+        """
         entries = [(key, b"") for job in jobs for key in records.job_keys(job)]
         try:
             await self.store.append(records.JOBS_TOPIC, partition, entries)
         except (exception.LogUnavailable, exception.LinkLost) as error:
-            LOG.debug("Records were not dropped: %s", error)
+            LOG.debug("Could not drop job records, retrying: %s", error)
             return
         self.ended -= jobs
--- a/packages/cicadafold/src/cicadafold/dispatch/runs.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/runs.py
@@ -1,4 +1,4 @@
-"""Runs of tasks on workers, and the room that they take."""
+"""Run attempts of tasks on workers, and the capacity that they use."""
 
 import enum
 
@@ -8,24 +8,28 @@
 
 __all__ = ["RunAttempt", "RunState", "Worker", "run_log_fields"]
 
-# The platform bounds a worker's clock to be at most 2% slow.
+# Factor on the time until a lease ends by the worker's clock. The platform
+# guarantees that this clock is at most 2% slow.
 SLOW_CLOCK_FACTOR = 1.02
+# Added to the time after which a lease is taken as expired.
 LEASE_MARGIN_MS = 150.0
-# A worker that drains serves at least about this long.
+# Assumed time until a draining worker leaves if it does not report one.
 DEFAULT_DRAIN_MS = 2500.0
-# An order without an answer may be carried out this much later; the
-# platform speaks of seconds, up to 12 were seen.
+# Longest time after which an unanswered start command may still be carried
+# out. The platform speaks of seconds; up to 12 s have been observed.
 MAX_START_DELAY_MS = 13000.0
 
 
 class RunState(enum.Enum):
-    """What is known of a run.
+    """State of a run attempt as the scheduler knows it.
 
     Attributes:
-        STARTING: Its order is on the way.
-        RUNNING: Its worker has taken the order.
-        DOUBTFUL: The order was not answered and may be carried out later.
-        STOPPING: A stop was answered; its end is not listed yet.
+        STARTING: The start command is under way.
+        RUNNING: The worker has accepted the start command.
+        UNCONFIRMED: The start command was not answered and may still be
+            carried out.
+        STOPPING: The worker has answered a stop command but does not list
+            the end yet.
     """
 
     STARTING = "starting"
@@ -35,26 +39,33 @@
 
 
 class RunAttempt:
-    """One run of a task on a worker.
+    """One execution of a task on a worker.
+
+    All times are monotonic, in milliseconds.
 
     Attributes:
         task: Task, or None if its job is not known.
         name: Name of the task.
-        attempt: Number of the run.
-        worker: Worker that it was ordered on.
-        room: Room that it takes until it is proved gone.
-        state: What is known of it.
-        answered_ms: Monotonic time of the answer to its order.
-        started_ms: Monotonic time from which it is taken to work.
-        percent: Progress that its worker last reported.
-        percent_ms: Monotonic time at which the progress last grew.
-        stop_wanted: Whether it should be stopped.
-        stopped_ms: Monotonic time of the answer to its stop, or None.
-        reading: Tail latency in milliseconds, or cores in use.
-        rated_ms: Time of the report before, from which its rate is taken.
-        pace: Share of its speed at which it may work.
-        uncertain: Whether its order was not answered, and nothing has
-            shown since that it was carried out.
+        attempt: Number of the attempt.
+        worker: Worker that was told to run the task.
+        room: Resources that are reserved on the worker until the run attempt
+            is known to be gone.
+        state: State as the scheduler knows it.
+        start_sent_ms: Time at which the start command was created.
+        answered_ms: Time of the first answer that shows the run attempt, or
+            None.
+        started_ms: Time from which the task is assumed to run.
+        percent: Progress last reported by the worker, 0 to 100.
+        progress_changed_ms: Time at which the progress last grew.
+        stop_requested: Whether it is to be stopped.
+        stop_in_progress: Whether a coroutine is sending stop commands.
+        stop_answered_ms: Time of the answer to the stop command, or None.
+        reading: Reported tail latency in milliseconds, or cores in use.
+        rate_measured_ms: Time of the report from which the next progress
+            rate is measured, or None.
+        pace: Percentage of its speed at which a filler task may run.
+        start_unconfirmed: Whether the start command was not answered, and no
+            report has shown since that it was carried out.
     """
 
     __slots__ = (
@@ -100,12 +111,12 @@
 
     @property
     def key(self):
-        """Name and attempt."""
+        """Name of the task and number of the attempt."""
         return self.name, self.attempt
 
 
 def run_log_fields(run):
-    """Returns the fields of a log line about a run."""
+    """Returns the fields of a log line about a run attempt."""
     return {
         "request_id": run.name.job,
         "step": run.name.step,
@@ -116,32 +127,50 @@
 
 
 class Worker:
-    """One worker as the scheduler knows it.
+    """State of one worker as the scheduler knows it.
+
+    Times are monotonic, in milliseconds, unless stated otherwise.
 
     Attributes:
-        report: Newest report of the registry.
-        listed: Whether the registry has it.
-        runs: Runs that may be on it, by name and attempt.
-        clock: Estimate of its clock.
-        born_ms: Start of its life as it says itself, or None.
-        deadline_ms: Latest lease end that was sent, by its clock.
-        acknowledged: Ends up to this number are recorded.
-        seen: Number of the newest end that was handled.
-        unrecorded: Numbers of handled ends with their journal batches.
-        silent_since_ms: Monotonic time of the first unanswered call.
-        lapse_at_ms: Monotonic time after which no lease is left, None
-            while it answers.
-        fenced: Whether it has taken this scheduler's fence.
-        quarantined_until_ms: Time before which it gets no new runs.
-        faults: Quarantines in a row.
-        meter: Speed seen in the progress of its runs.
-        speed: Speed against the median of its pool.
-        reported_ms: Monotonic time of its newest report.
-        faulty_jobs: Jobs with a failed run since the last success.
-        late_orders: Unanswered orders that were proved dead in this life.
-        closed: Whether the record of workers does not let it be given runs.
-        open_batch: Journal batch whose record lets it be given runs, or
-            None.
+        report: Newest report of the worker in the registry.
+        listed: Whether the registry lists the worker.
+        runs: Run attempts that may be on the worker, by task name and
+            attempt.
+        clock: Estimate of the worker's clock.
+        born_ms: Start of the worker's incarnation as it reports it, Unix
+            time in milliseconds, or None before the first report.
+        deadline_ms: Latest end of a lease that was sent, by the worker's
+            clock.
+        known_since_ms: Time since which this scheduler knows the worker; no
+            earlier scheduler has extended its lease after it.
+        acknowledged: Number up to which the ends are recorded.
+        handled_end: Number of the newest end that was handled.
+        unrecorded: Pairs of the number of a handled end and the journal
+            batch that will record it.
+        unconfirmed_starts: Start commands that were not answered and whose
+            run attempts ended in this incarnation; a later incarnation may
+            still carry them out. Resources and time sent, by task name and
+            attempt.
+        closed_to_starts: Whether the recorded list of workers says that
+            this one gets no new run attempts.
+        open_batch: Journal batch that records that the worker may get run
+            attempts again, or None.
+        silent_since_ms: Time of the first unanswered call, or None while the
+            worker answers.
+        lapse_at_ms: Time after which all leases have expired, or None while
+            the worker answers.
+        lapsed: Whether all leases have expired.
+        fenced: Whether the worker has accepted the fence of this term.
+        quarantined_until_ms: Time before which it gets no new run attempts.
+        quarantines_in_a_row: Number of quarantines since the last success.
+        failed_jobs: Jobs with a failed run attempt since the last success or
+            quarantine.
+        speed_meter: Meter of the speed at which its tasks progress.
+        speed: Speed relative to the median of its pool.
+        reported_ms: Time of its newest report.
+        used: Reserved thousandths of a core, megabytes and accelerators.
+        rack: Label that names its rack, or empty.
+        labels: Labels of the worker.
     """
 
     def __init__(self, *, report, now_ms):
@@ -171,20 +200,24 @@
         self.labels = frozenset(report.labels)
 
     def reset_end_numbers(self):
-        """Forgets the numbers of ends, at the start of a life."""
+        """Resets the numbers of ends, which start anew in an incarnation."""
         self.acknowledged = 0
         self.handled_end = 0
         self.unrecorded = []
 
     def add(self, run):
-        """Takes room for a run."""
+        """Adds a run attempt and reserves its resources."""
         self.runs[run.key] = run
         self.adjust_used(run.room, 1)
         if run.task is not None:
             run.task.runs.append(run)
 
     def remove(self, run):
-        """Gives back the room of a run that is proved gone."""
+        """Removes a run attempt that is known to be gone.
+
+        Its resources are released. An unconfirmed start is remembered, as a
+        later incarnation of the worker may still carry it out.
+        """
         if self.runs.pop(run.key, None) is None:
             return
         if run.start_unconfirmed:
@@ -197,13 +230,13 @@
             run.task.runs.remove(run)
 
     def adjust_used(self, resources, sign):
-        """Adds to the used room."""
+        """Adds resources to the used ones (sign 1) or subtracts them (-1)."""
         self.used[0] += sign * resources.cores_milli
         self.used[1] += sign * resources.memory_mb
         self.used[2] += sign * resources.accelerators
 
     def usable(self, now_ms):
-        """Whether it may be given new runs."""
+        """Whether the worker may get new run attempts now."""
         return (
             self.fenced
             and not self.closed_to_starts
@@ -214,7 +247,7 @@
         )
 
     def scheduling_view(self):
-        """Returns its free room for placement."""
+        """Returns the worker's free capacity, labels and speed."""
         capacity = self.report.capacity
         return views.WorkerView(
             self.report.id,
@@ -228,17 +261,26 @@
         )
 
     def extend_lease(self, lease_ms, now_ms):
-        """Returns the end of a lease that begins now, by its clock."""
+        """Returns the end of a lease that starts now, and remembers it.
+
+        Args:
+            lease_ms: Length of the lease in milliseconds.
+            now_ms: Monotonic time in milliseconds.
+
+        Returns:
+            End in milliseconds by the worker's clock.
+        """
         until = int(self.clock.at_least(at_ms=now_ms) + lease_ms)
         self.deadline_ms = max(self.deadline_ms, until)
         return until
 
     def mark_silent(self, now_ms, longest_ms):
-        """Notes an unanswered call and when its leases are over.
+        """Records an unanswered call and when the worker's leases expire.
 
         Args:
-            now_ms: Monotonic time.
-            longest_ms: Longest lease, for a worker never heard of.
+            now_ms: Monotonic time in milliseconds.
+            longest_ms: Longest lease that a worker grants, in milliseconds.
+                It is assumed if the worker has never answered this term.
         """
         if self.silent_since_ms is None:
             self.silent_since_ms = now_ms
@@ -254,10 +296,13 @@
             )
 
     def pop_unconfirmed_starts(self, now_ms):
-        """Returns unanswered orders that a new life may still carry out.
+        """Removes and returns the unconfirmed starts of the last incarnation.
+
+        The new incarnation may still carry out those that are not too old.
 
         Returns:
-            Their runs, which take room until a stop is answered.
+            Their run attempts, whose resources have to be reserved until a
+            stop command is answered.
         """
         found = []
         for (name, attempt), (
@@ -281,12 +326,12 @@
         return found
 
     def remaining_ms(self, now_ms):
-        """Returns the least time until it leaves, while it drains."""
+        """Returns the least time until a draining worker leaves, in ms."""
         said_ms = self.report.remaining_ms or DEFAULT_DRAIN_MS
         return said_ms - (now_ms - self.reported_ms)
 
     def mark_answering(self):
-        """Notes that it answers."""
+        """Records that the worker answers, so that its leases go on."""
         self.silent_since_ms = None
         self.lapse_at_ms = None
         self.lapsed = False
--- a/packages/cicadafold/src/cicadafold/dispatch/ticketing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/ticketing.py
@@ -1,4 +1,8 @@
-"""Plans calls for advice: for which steps, and about which workers."""
+"""Plans advice calls: for which steps, and about which workers.
+
+The advice service tells on which workers a policy of the queue permits a
+step, and grants a ticket for each of them.
+"""
 
 import math
 
@@ -7,27 +11,34 @@
 
 __all__ = ["TicketPlanner"]
 
-# Most workers that one call for advice may name.
+# Most workers that one advice call may name.
 MAX_ADVISED = 100
-# Least number of workers asked about, and how many more than needed.
+# Fewest workers that a call asks about if there are that many.
 MIN_ADVISED = 16
+# A call asks about this many times the workers that a step needs.
 ADVISED_FACTOR = 1.5
-# Share of a worker that is likely to be free for a step.
+# Share of a worker's capacity that is assumed to be free for a step.
 USABLE_SHARE = 0.6
-# Share of workers that a policy permits: at first, at least, and the weight
-# of the newest answer.
+# Share of the workers that a queue's policy is assumed to permit before its
+# first answer, least share that is recorded for an answer, and weight of the
+# newest answer in the moving average.
 INITIAL_PERMITTED_SHARE = 0.4
 MIN_PERMITTED_SHARE = 0.05
 PERMITTED_LEARNING_RATE = 0.1
-# New tickets for a waiting gang are asked for this early.
+# A waiting gang requests new tickets when its tickets expire within this many
+# times the duration of a call.
 REFRESH_FACTOR = 1.3
 
 
 class TicketPlanner:
-    """Decides which steps need tickets, and whom to ask about.
+    """Decides which steps need tickets, and about which workers to ask.
 
     Args:
         workers: Workers by name.
+
+    Attributes:
+        permitted_shares: Moving average of the share of workers that the
+            policy permits, by name of the queue.
     """
 
     def __init__(self, *, workers):
@@ -35,7 +46,7 @@
         self.permitted_shares = {}
 
     def valid_tickets(self, step, now_ms):
-        """Returns the valid tickets of a step by worker."""
+        """Returns the valid tickets of a step by name of the worker."""
         return {
             worker: ticket
             for worker, (ticket, until_ms) in step.tickets.items()
@@ -43,17 +54,22 @@
         }
 
     def next_request(self, rank, step, tickets, pool, now_ms):
-        """Returns a call if a step is, or soon is, without tickets.
+        """Returns the advice request that a step needs now.
+
+        A step needs one if it has no valid tickets, or if it is a gang whose
+        tickets expire soon or whose permitted workers are too few. If none of
+        the usable workers is permitted any more, what is known about
+        permissions is dropped, so that the next pass asks anew.
 
         Args:
             rank: Rank of the step.
             step: Step.
-            tickets: Its valid tickets.
-            pool: Free room of the usable workers by name.
-            now_ms: Monotonic time.
+            tickets: Valid tickets of the step by name of the worker.
+            pool: Views of the usable workers by name.
+            now_ms: Monotonic time in milliseconds.
 
         Returns:
-            The call for advice, or None.
+            The request, or None if none is needed or one is under way.
         """
         if step.advice_pending:
             return None
@@ -78,7 +94,7 @@
         return advising.AdviceRequest(rank, step, names, cost_ms)
 
     def tickets_expire_soon(self, step, tickets, now_ms):
-        """Whether a gang's tickets end before new ones could come."""
+        """Whether a gang's tickets may expire before new ones arrive."""
         if not step.spec.gang:
             return False
         advice = step.job.rule.advice
@@ -87,7 +103,7 @@
         return first_ms - now_ms < call_ms * REFRESH_FACTOR
 
     def too_few_permitted(self, step, tickets):
-        """Whether a gang could not run on its permitted workers at all."""
+        """Whether a gang's permitted workers are too few to ever hold it."""
         if not step.spec.gang:
             return False
         held = sum(
@@ -98,16 +114,24 @@
         return held * USABLE_SHARE < step.spec.tasks
 
     def max_tasks_when_idle(self, worker, spec):
-        """Returns how many tasks a worker holds when nothing else runs."""
+        """Returns how many tasks of a step fit on a worker that is idle."""
         view = worker.scheduling_view()
         view.release(model.Resources(*worker.used))
         return min(view.max_tasks(spec.reserved_resources), spec.tasks)
 
     def candidate_workers(self, step, pool, known):
-        """Returns workers to ask about, those with most room first.
+        """Returns the workers to ask about, those with most free cores first.
 
-        Enough are named that the permitted ones will hold the step, by the
-        share that the queue's policy has permitted so far.
+        There are enough of them that the permitted ones should hold the
+        step, given the share that the queue's policy has permitted so far.
+
+        Args:
+            step: Step.
+            pool: Views of the usable workers by name.
+            known: Names of workers whose permission is known already.
+
+        Returns:
+            Names of the workers.
         """
         spec = step.spec
         fitting = [
@@ -129,7 +153,13 @@
         return [name for _, name in sorted(fitting)][:wanted]
 
     def record_permitted_share(self, step, asked, granted):
-        """Takes the share of workers that a queue's policy permits."""
+        """Records which share of the workers a queue's policy permits.
+
+        Args:
+            step: Step of a job in the queue.
+            asked: Number of workers that were asked about.
+            granted: Number of workers that are permitted.
+        """
         queue = step.job.rule.name
         known = self.permitted_shares.get(queue, INITIAL_PERMITTED_SHARE)
         found = max(MIN_PERMITTED_SHARE, granted / max(1, asked))
--- a/packages/cicadafold/src/cicadafold/dispatch/watching.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/watching.py
@@ -1,4 +1,4 @@
-"""Looks for runs that stand still, and forgets what is over."""
+"""Stops stalled run attempts and moves tasks off slow or leaving workers."""
 
 import asyncio
 
@@ -11,18 +11,23 @@
 __all__ = ["Watcher"]
 
 PERIOD_S = 0.25
-# A run whose progress has not grown for this long stands still; the
-# slowest sound run gains one percent in a fraction of it.
+# A run attempt whose progress has not grown for this long is stalled; the
+# slowest healthy one gains one percent in a fraction of this time.
 STALL_MS = 2500.0
+# Quarantine of a worker on which a run attempt stalled.
 QUARANTINE_MS = 4000.0
-# A run is moved from a slow worker if it would still take this much longer
-# than a whole run elsewhere, with the time of stop and start.
+# A run attempt is moved from a very slow worker if its remaining time exceeds
+# this multiple of a whole run attempt elsewhere plus the time to stop it and
+# to start another.
 MOVE_FACTOR = 1.3
 MOVE_COST_MS = 600.0
+# Younger run attempts are not moved.
 MIN_RUN_MS = 500.0
+# Least speed with which remaining times are computed.
 MIN_SPEED = 0.05
 FULL_PERCENT = 100.0
-# Steps that wait longer than this are reported, a few in each report.
+# Steps that wait longer than this are logged, at most MAX_REPORTED of them
+# in each period.
 LONG_WAIT_MS = 4000.0
 REPORT_PERIOD_S = 2.0
 MAX_REPORTED = 5
@@ -31,12 +36,15 @@
 
 
 class Watcher:
-    """Stops runs that stand still.
+    """Stops run attempts that are stalled or would end too late.
+
+    The tasks of stopped run attempts wait again and are placed elsewhere.
 
     Args:
         workers: Workers by name.
-        table: Jobs.
-        events: Receiver of stops, which knows expected durations.
+        table: Table of the jobs.
+        events: Event handler of the workers, which stops run attempts and
+            knows their expected durations.
     """
 
     def __init__(self, *, workers, table, events):
@@ -45,7 +53,10 @@
         self.events = events
 
     async def run(self):
-        """Looks at all runs again and again."""
+        """Checks all workers every ``PERIOD_S`` seconds.
+
+        Also stops run attempts of unknown jobs and logs long waits.
+        """
         reported_ms = 0.0
         while True:
             await asyncio.sleep(PERIOD_S)
@@ -60,7 +71,7 @@
                 self.report_waiting(now_ms)
 
     def update_speeds(self, now_ms):
-        """Sets the speed of each worker against its pool's median."""
+        """Sets the speed of each worker relative to its pool's median."""
         measured = {}
         for name, worker in self.workers.items():
             speed = worker.speed_meter.speed(now_ms)
@@ -70,7 +81,7 @@
                 self.workers[name].speed = speed
 
     def report_waiting(self, now_ms):
-        """Logs the steps that have waited longest, and what they need."""
+        """Logs the steps that have waited longest, beyond LONG_WAIT_MS."""
         waiting = [
             step
             for job in self.table.active.values()
@@ -83,10 +94,16 @@
         ]
         waiting.sort(key=lambda step: step.ready_ms)
         for step in waiting[:MAX_REPORTED]:
-            LOG.info("A step waits.", fields=waiting_log_fields(step, now_ms))
+            LOG.info(
+                "Step has waiting tasks for longer than 4 s.",
+                fields=waiting_log_fields(step, now_ms),
+            )
 
     def check_worker(self, worker, now_ms):
-        """Stops the runs of one worker that stand still."""
+        """Stops the stalled run attempts on one worker, if it answers.
+
+        The worker is quarantined and the step of the task avoids it.
+        """
         if worker.silent_since_ms is not None:
             return
         for run in list(worker.runs.values()):
@@ -94,14 +111,18 @@
                 continue
             worker.quarantined_until_ms = now_ms + QUARANTINE_MS
             LOG.warning(
-                "A run stands still and is stopped.",
+                "Run attempt made no progress for 2.5 s, stopping it.",
                 fields=runs.run_log_fields(run) | {"percent": run.percent},
             )
             run.task.step.avoided_workers.add(worker.report.id)
             self.events.stop_run(run)
 
     def move_runs_from(self, worker, now_ms):
-        """Stops what a leaving or slow worker would not end in time."""
+        """Stops run attempts that a leaving or slow worker ends too late.
+
+        On a draining worker this is after its expected departure; on a very
+        slow one, when starting again elsewhere is expected to be faster.
+        """
         draining = worker.report.draining
         if worker.silent_since_ms is not None:
             return
@@ -115,7 +136,8 @@
                 now_ms, excluded_job=run.name.job
             )
             if not draining and others >= speeds.VERY_SLOW_SPEED:
-                # The job itself may be longer than estimated.
+                # Without this job the worker is not very slow: the job
+                # probably takes longer than estimated.
                 continue
             if draining:
                 bound_ms = worker.remaining_ms(now_ms)
@@ -125,9 +147,9 @@
             if left_ms <= bound_ms:
                 continue
             LOG.info(
-                "A run is moved from a leaving worker."
+                "Stopping a run attempt to move it off a leaving worker."
                 if draining
-                else "A run is moved from a slow worker.",
+                else "Stopping a run attempt to move it off a slow worker.",
                 fields=runs.run_log_fields(run)
                 | {
                     "left_ms": round(left_ms),
@@ -138,7 +160,11 @@
             self.events.stop_run(run)
 
     def expected_remaining_ms(self, run, worker, now_ms):
-        """Returns how long a run still takes, None if it is not moved."""
+        """Returns the expected remaining time of a run attempt, in ms.
+
+        Returns None if the run attempt must not be moved: it is not running,
+        is being stopped, has no expected duration or has just started.
+        """
         if run.state is not runs.RunState.RUNNING or run.stop_requested:
             return None
         expected_ms = self.events.expected_ms(run)
@@ -152,20 +178,24 @@
         )
 
     def is_stalled(self, run, now_ms):
-        """Whether the progress of a run has stopped."""
+        """Whether a run attempt has made no progress for too long.
+
+        Tasks without an end and filler tasks report no progress and never
+        count as stalled.
+        """
         if run.state is not runs.RunState.RUNNING or run.stop_requested:
             return False
         task = run.task
         if task is None or task.step.spec.lasting or task.step.spec.fills:
             return False
         if task.step.spec.gang and run.percent >= FULL_PERCENT:
-            # It has done its part and waits for the slower members.
+            # Complete, and waiting for the slower tasks of the gang.
             return False
         return now_ms - run.progress_changed_ms > STALL_MS
 
 
 def waiting_log_fields(step, now_ms):
-    """Returns what a report says of a step that waits."""
+    """Returns the log fields for a step with waiting tasks."""
     tickets = sum(now_ms < until for _, until in step.tickets.values())
     return {
         "request_id": step.job.spec.id,
--- a/packages/cicadafold/src/cicadafold/scheduling/__init__.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/__init__.py
@@ -1,1 +1,4 @@
-"""Pure decisions: order of the queue, placement, advice, estimates."""
+"""Scheduling decisions without I/O.
+
+Queue order, placement, reservations, duration estimates and worker speeds.
+"""
--- a/packages/cicadafold/src/cicadafold/scheduling/estimates.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/estimates.py
@@ -1,21 +1,34 @@
-"""Expected durations: declared, learned by queue, seen in progress."""
+"""Expected task durations.
+
+They are estimated from the duration that the caller declares, the mean of
+the queue's completed tasks and the progress of a running task.
+"""
 
 import math
 
 __all__ = ["DurationEstimates", "critical_path_ms"]
 
-# Weight of the newest duration of a queue; a mean over about 50 tasks.
+# Weight of the newest duration in a queue's exponential moving average, which
+# thus covers about 50 tasks.
 LEARNING_RATE = 0.02
-# Declared estimates are off by factors; they count as much as the mean.
+# Weight of the declared duration against the queue's mean. Declared durations
+# are often wrong by a multiple, so they weigh no more than the mean.
 DECLARED_WEIGHT = 0.5
 MIN_DURATION_MS = 20.0
-# Progress says more than estimates once this share is done.
+# From this progress on, the remaining time is extrapolated from the progress
+# instead of from the estimate.
 MIN_PROGRESS_PERCENT = 10.0
 FULL_PERCENT = 100.0
 
 
 class DurationEstimates:
-    """Mean durations by queue.
+    """Mean task durations by queue.
+
+    The means are geometric, as durations vary by multiples.
+
+    Attributes:
+        log_means: Moving average of the natural logarithm of the durations
+            in milliseconds, by name of the queue.
 
     Examples:
         >>> estimates = DurationEstimates()
@@ -27,13 +40,23 @@
         self.log_means = {}
 
     def record_duration(self, queue, duration_ms):
-        """Takes the duration of a task that has ended as done."""
+        """Adds the duration of a completed task to the mean of its queue.
+
+        Args:
+            queue: Name of the queue.
+            duration_ms: Duration of the task in milliseconds.
+        """
         value = math.log(max(MIN_DURATION_MS, duration_ms))
         known = self.log_means.get(queue, value)
         self.log_means[queue] = known + LEARNING_RATE * (value - known)
 
     def task_duration_ms(self, queue, declared_ms):
-        """Returns the expected duration of a task."""
+        """Returns the expected duration of a task in milliseconds.
+
+        Args:
+            queue: Name of the queue.
+            declared_ms: Duration in milliseconds that the caller declared.
+        """
         declared = math.log(max(MIN_DURATION_MS, declared_ms))
         known = self.log_means.get(queue)
         if known is None:
@@ -42,17 +65,17 @@
         return math.exp(mixed)
 
     def step_task_duration_ms(self, step):
-        """Returns the expected duration of a task of a step."""
+        """Returns the expected duration of one task of a step, in ms."""
         return self.task_duration_ms(step.job.rule.name, step.spec.estimate_ms)
 
 
 def remaining_ms(expected_ms, ran_ms, percent):
-    """Returns how long a running task still takes.
+    """Returns the expected remaining time of a running task in milliseconds.
 
     Args:
-        expected_ms: Expected duration.
-        ran_ms: Time since its start.
-        percent: Its progress.
+        expected_ms: Expected duration of the whole task in milliseconds.
+        ran_ms: Time since the start of the task in milliseconds.
+        percent: Progress of the task, 0 to 100.
     """
     if percent >= MIN_PROGRESS_PERCENT:
         return ran_ms * (FULL_PERCENT - percent) / percent
@@ -60,11 +83,13 @@
 
 
 def critical_path_ms(steps, duration_ms_of):
-    """Returns the longest chain of work through the steps.
+    """Returns the length of the critical path through the steps, in ms.
 
     Args:
-        steps: Steps with their ``after``.
-        duration_of: Function from a step to its duration.
+        steps: Steps in order; ``after`` of each names the numbers of the
+            earlier steps that it depends on.
+        duration_ms_of: Function that returns the duration of a step in
+            milliseconds.
     """
     ends = []
     for step in steps:
--- a/packages/cicadafold/src/cicadafold/scheduling/placement.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Chooses workers for the tasks of a step."""
+"""Placement: chooses workers for the tasks of a step."""
 
 __all__ = ["POLICIES", "place", "policy"]
 
@@ -6,9 +6,10 @@
 
 
 def policy(name):
-    """Registers a function that rates a worker for a demand.
+    """Registers a placement policy under a name.
 
-    The function takes a worker and a demand; lower rates are used first.
+    A policy is a function of a ``WorkerView`` and a ``Demand`` that returns a
+    sortable score; workers with lower scores are used first.
     """
 
     def register(function):
@@ -20,33 +21,38 @@
 
 @policy("best-fit")
 def best_fit(worker, demand):
-    """Leaves the largest free rooms whole, for wide and large tasks."""
+    """Prefers workers with the least free cores.
+
+    This keeps the largest blocks of free capacity unbroken, for gangs and
+    for tasks that need many cores.
+    """
     return worker.cores_milli - demand.need.cores_milli
 
 
 @policy("least-loaded")
 def least_loaded(worker, demand):
-    """Uses the largest free room first."""
+    """Prefers workers with the most free cores."""
     return -worker.cores_milli
 
 
 @policy("fast-first")
 def fast_first(worker, demand):
-    """Uses fast workers first, and among them the fullest."""
+    """Prefers fast workers, and among equally fast ones the best fit."""
     return (-round(worker.speed, 1), best_fit(worker, demand))
 
 
 def place(demand, workers, *, score):
-    """Chooses a worker for each task, as far as there is room.
+    """Chooses a worker for each task, as far as the free capacity allows.
 
     Args:
         demand: Tasks to place.
-        hosts: Workers by name; their free room is taken.
-        rate: Function that rates a worker; see ``policy``.
+        workers: Views of the workers by name; the capacity of the placed
+            tasks is reserved in them.
+        score: Placement policy; see ``policy``.
 
     Returns:
-        Names of workers, one for each task placed. A gang is placed whole
-        or not at all.
+        Names of workers, one for each placed task. Either all tasks of a
+        gang are placed or none.
     """
     fitting = []
     for worker in workers.values():
@@ -60,13 +66,33 @@
 
 
 def sort_key(worker, demand, score):
-    """Returns the order of a worker: avoided last, data rack first."""
-    far = bool(demand.data_rack) and worker.rack != demand.data_rack
-    return (worker.id in demand.avoid, far, score(worker, demand), worker.id)
+    """Returns the sort key of a worker.
+
+    Workers to avoid come last, then workers in the rack of the task's data
+    come first, then the policy's score and the name decide.
+    """
+    outside_data_rack = (
+        bool(demand.data_rack) and worker.rack != demand.data_rack
+    )
+    return (
+        worker.id in demand.avoid,
+        outside_data_rack,
+        score(worker, demand),
+        worker.id,
+    )
 
 
 def place_in_order(demand, fitting):
-    """Fills the workers in their order."""
+    """Places tasks on the workers in the given order until all are placed.
+
+    Args:
+        demand: Tasks to place.
+        fitting: Triples of sort key, worker and the number of tasks that fit
+            on the worker.
+
+    Returns:
+        Names of workers, one for each placed task.
+    """
     chosen = []
     for _, worker, count in fitting:
         count = min(count, demand.tasks - len(chosen))
@@ -78,19 +104,23 @@
 
 
 def place_gang(demand, fitting):
-    """Places all tasks or none, within one rack if that is asked for."""
+    """Places all tasks of a gang or none.
+
+    If the gang should stay within one rack, the first rack that can hold it
+    is used, and several racks only if none can.
+    """
     if demand.one_rack:
         racks = {}
         for item in fitting:
             racks.setdefault(item[1].rack, []).append(item)
-        for members in racks.values():
-            if total_tasks(members) >= demand.tasks:
-                return place_in_order(demand, members)
+        for rack_workers in racks.values():
+            if total_tasks(rack_workers) >= demand.tasks:
+                return place_in_order(demand, rack_workers)
     if total_tasks(fitting) < demand.tasks:
         return []
     return place_in_order(demand, fitting)
 
 
 def total_tasks(fitting):
-    """Returns how many tasks a list of workers can take."""
+    """Returns how many tasks fit on the workers in total."""
     return sum(count for _, _, count in fitting)
--- a/packages/cicadafold/src/cicadafold/scheduling/ranking.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/ranking.py
@@ -1,24 +1,27 @@
-"""Order in which waiting steps are placed."""
+"""Queue order: ranks the waiting steps that are placed next."""
 
 import msgspec
 
 __all__ = ["RANKINGS", "WaitingStep", "objective_ms", "ranking"]
 
 RANKINGS = {}
-# A job that is late by more than this many objectives earns nothing.
+# A job that takes longer than this many times its objective has no value any
+# more.
 TOO_LATE_FACTOR = 3.0
 LATE = 1
 TOO_LATE = 2
 
 
 class WaitingStep(msgspec.Struct, kw_only=True):
-    """A step with tasks that wait, as the order of the queue sees it.
+    """What the queue order needs to know of a step with waiting tasks.
 
     Attributes:
-        priority: Rank of the queue; 0 comes first.
-        arrived_ms: Time at which the job arrived or was due.
-        objective_ms: Latency objective of the job.
-        remaining_ms: Expected time until the job's end once this starts.
+        priority: Priority of the queue; 0 is the most urgent.
+        arrived_ms: Monotonic time in milliseconds at which the job arrived
+            or its occurrence was due.
+        objective_ms: Latency objective of the job in milliseconds.
+        remaining_ms: Expected time in milliseconds from the start of this
+            step to the end of the job.
     """
 
     priority: int
@@ -27,12 +30,16 @@
     remaining_ms: float
 
     def slack_ms(self, now_ms):
-        """Returns how long its start may wait without a late end."""
+        """Returns how long the start may be delayed, in milliseconds.
+
+        With a longer delay the job misses its objective; a negative slack
+        means that it misses it anyway.
+        """
         due_ms = self.arrived_ms + self.objective_ms
         return due_ms - now_ms - self.remaining_ms
 
     def lateness(self, now_ms):
-        """Returns 0 while it can be in time, then MISSED, then LOST."""
+        """Returns 0 if the objective can still be met, LATE or TOO_LATE."""
         slack_ms = self.slack_ms(now_ms)
         if slack_ms >= 0:
             return 0
@@ -41,7 +48,11 @@
 
 
 def ranking(name):
-    """Registers a function that ranks a waiting step; lowest first."""
+    """Registers a queue order under a name.
+
+    It is a function of a ``WaitingStep`` and the monotonic time in
+    milliseconds that returns a sortable rank; the lowest is placed first.
+    """
 
     def register(function):
         RANKINGS[name] = function
@@ -52,13 +63,17 @@
 
 @ranking("arrival")
 def by_arrival(waiting, now_ms):
-    """First come, first served within each priority."""
+    """Ranks first come, first served within each priority."""
     return (waiting.priority, waiting.arrived_ms)
 
 
 @ranking("slack")
 def by_slack(waiting, now_ms):
-    """Urgent work first; then what can still be in time, by its slack."""
+    """Ranks priority 0 first, then by lateness and slack.
+
+    Steps of priority 0 are first come, first served, unless they are too
+    late. The rest is sorted into in time, late and too late, each by slack.
+    """
     lateness = waiting.lateness(now_ms)
     if waiting.priority == 0 and lateness < TOO_LATE:
         return (0, lateness, waiting.arrived_ms)
@@ -66,11 +81,12 @@
 
 
 def objective_ms(rule, critical_path_ms, advice_ms=0.0):
-    """Returns the latency objective of a job.
+    """Returns the latency objective of a job in milliseconds.
 
     Args:
-        rule: Rule of its queue.
-        chain_ms: Longest chain of work.
-        advice_ms: Calls for advice along the chain.
+        rule: Rule of the job's queue.
+        critical_path_ms: Length of the critical path in milliseconds.
+        advice_ms: Time for advice calls on the critical path, in
+            milliseconds.
     """
     return rule.stretch * (critical_path_ms + advice_ms) + rule.target_ms
--- a/packages/cicadafold/src/cicadafold/scheduling/reservation.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/reservation.py
@@ -1,9 +1,9 @@
-"""Keeps workers free for a wide gang that does not fit yet.
+"""Reserves workers for a gang that does not fit yet.
 
-Answers the load in which many small tasks take every room that becomes
-free, so that a gang, which needs its room at once, never starts. The
-workers on which the gang would fit first are kept for it; tasks that end
-before that time may still use them.
+A gang needs all its capacity at the same time. Without reservations, a stream
+of small tasks takes all capacity that becomes free, and the gang never
+starts. The workers on which the gang would fit earliest are reserved for it;
+tasks that are expected to end before that time may still use them (backfill).
 """
 
 import msgspec
@@ -14,11 +14,12 @@
 
 
 class FutureCapacity(msgspec.Struct):
-    """A worker's free room, and what becomes free when.
+    """Free capacity of a worker, now and when its run attempts end.
 
     Attributes:
-        host: Its free room now.
-        ends: Expected milliseconds until each run ends, with its room.
+        host: Worker with its free capacity now.
+        ends: Pairs for the run attempts on the worker: expected milliseconds
+            until the end, and the resources that it releases.
     """
 
     host: views.WorkerView
@@ -26,10 +27,10 @@
 
 
 class Reservation(msgspec.Struct, frozen=True):
-    """Workers that are kept for a gang.
+    """Workers that are reserved for a gang.
 
     Attributes:
-        in_ms: Expected milliseconds until all of it fits.
+        fits_in_ms: Expected milliseconds until the whole gang fits.
         hosts: Names of the workers.
     """
 
@@ -38,22 +39,23 @@
 
 
 def reserve(demand, futures):
-    """Chooses the workers on which a gang would fit first.
+    """Chooses the workers on which a gang would fit earliest.
 
     Args:
-        demand: The gang.
-        futures: Workers that it may use.
+        demand: Demand of the gang.
+        futures: ``FutureCapacity`` of each worker that the gang may use.
 
     Returns:
-        The reservation, or None if it fits on no choice of them.
+        The reservation, or None if the gang does not fit even when all run
+        attempts that are listed have ended.
     """
-    steps = []
+    gains = []
     for future in futures:
-        steps.extend(capacity_gains(demand, future))
-    steps.sort(key=lambda step: step[0])
+        gains.extend(capacity_gains(demand, future))
+    gains.sort(key=lambda gain: gain[0])
     missing = demand.tasks
     chosen = set()
-    for in_ms, name, count in steps:
+    for in_ms, name, count in gains:
         chosen.add(name)
         missing -= count
         if missing <= 0:
@@ -62,14 +64,19 @@
 
 
 def capacity_gains(demand, future):
-    """Yields when a worker can hold how many more tasks of a gang."""
+    """Yields when a worker gains capacity for more tasks of a gang.
+
+    Yields:
+        Expected milliseconds from now, name of the worker, and how many more
+        tasks of the gang fit from then on.
+    """
     worker = msgspec.structs.replace(future.host)
-    held = demand.max_tasks_on(worker)
-    if held:
-        yield 0.0, worker.id, held
+    fitting_before = demand.max_tasks_on(worker)
+    if fitting_before:
+        yield 0.0, worker.id, fitting_before
     for in_ms, resources in sorted(future.ends, key=lambda end: end[0]):
         worker.release(resources)
         fitting = demand.max_tasks_on(worker)
-        if fitting > held:
-            yield in_ms, worker.id, fitting - held
-            held = fitting
+        if fitting > fitting_before:
+            yield in_ms, worker.id, fitting - fitting_before
+            fitting_before = fitting
--- a/packages/cicadafold/src/cicadafold/scheduling/speeds.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/speeds.py
@@ -1,8 +1,8 @@
-"""Learned speeds of workers, from the progress of what runs on them.
+"""Speeds of workers, measured by the progress of their tasks.
 
-Answers workers that turn several times slower while they look healthy: they
-get no new work while others have room, and what they would end too late is
-started again elsewhere.
+A worker may become several times slower while it still appears healthy. Such
+a worker gets new tasks last or not at all, and tasks that it would complete
+too late are started again on another worker.
 """
 
 import math
@@ -10,23 +10,29 @@
 
 __all__ = ["SLOW_SPEED", "VERY_SLOW_SPEED", "SpeedMeter", "relative_speeds"]
 
-# Weight of the newest rate of a job.
+# Weight of the newest rate in the moving average of a job's rates.
 LEARNING_RATE = 0.4
-# Shares of the pool's median speed. Sound workers differ by a third, and
-# estimates by more: a slow worker is used last, a very slow one not at all.
+# Speeds relative to the median of the pool, below which a worker is used last
+# (slow) or not at all (very slow). They leave room for healthy workers, which
+# differ by a third, and for duration estimates, which differ by more.
 SLOW_SPEED = 0.5
 VERY_SLOW_SPEED = 0.3
-# Jobs whose rates must be known before a worker is judged. A single job may
-# be slow by itself, as its estimate may be far off.
+# Number of jobs with known rates that a speed needs. A single job says little
+# of the worker, as its duration estimate may be far off.
 MIN_JOBS = 4
-# Rates older than this say nothing of the worker now; a worker without new
-# work is tried again after it.
+# Older rates are dropped. A worker that gets no new tasks has no rates after
+# this time, counts as usual again and is given tasks again.
 MAX_RATE_AGE_MS = 4000.0
+# Least and greatest rate that is recorded; others are clamped to these.
 RATE_RANGE = (0.03, 8.0)
 
 
 class SpeedMeter:
-    """Speed of one worker against what estimates expect.
+    """Speed of one worker relative to the duration estimates.
+
+    Attributes:
+        rates: By job, the moving average of the logarithm of its rates and
+            the monotonic time in milliseconds of the newest rate.
 
     Examples:
         >>> meter = SpeedMeter()
@@ -40,7 +46,13 @@
         self.rates = {}
 
     def record_rate(self, job, rate, now_ms):
-        """Takes a rate of progress of a job; 1 is what was expected."""
+        """Records how fast a task of a job progresses on this worker.
+
+        Args:
+            job: Identifier of the job.
+            rate: Progress made divided by the progress expected.
+            now_ms: Monotonic time in milliseconds.
+        """
         low, high = RATE_RANGE
         value = math.log(min(high, max(low, rate)))
         known = self.rates.get(job)
@@ -49,18 +61,19 @@
         self.rates[job] = (value, now_ms)
 
     def speed(self, now_ms, *, excluded_job=None):
-        """Returns the speed, 1 if too little is known.
+        """Returns the median rate of the jobs, 1 if too few are known.
 
         Args:
-            now_ms: Monotonic time.
-            without: Job whose own rate is left out.
+            now_ms: Monotonic time in milliseconds.
+            excluded_job: Identifier of a job whose rate is left out, or
+                None.
         """
-        old = [
+        expired = [
             job
             for job, (_, at_ms) in self.rates.items()
             if now_ms - at_ms > MAX_RATE_AGE_MS
         ]
-        for job in old:
+        for job in expired:
             del self.rates[job]
         values = [
             value
@@ -73,11 +86,12 @@
 
 
 def relative_speeds(speeds):
-    """Returns the speeds against their median.
+    """Returns the speeds divided by their median.
+
+    Estimates that are wrong for all workers by the same factor cancel out.
 
     Args:
-        speeds: Speed by worker; estimates that are off for all of them
-            cancel out.
+        speeds: Speed by name of the worker.
 
     Examples:
         >>> relative_speeds({"a": 2.0, "b": 2.0, "c": 0.4})["c"]
@@ -85,5 +99,5 @@
     """
     if not speeds:
         return {}
-    middle = statistics.median(speeds.values())
-    return {name: speed / middle for name, speed in speeds.items()}
+    median = statistics.median(speeds.values())
+    return {name: speed / median for name, speed in speeds.items()}
--- a/packages/cicadafold/src/cicadafold/scheduling/tests/test_decisions.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of placement, ranking and estimates."""
+"""Tests of placement, reservations, queue order and duration estimates."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def hosts():
-    """Four workers of four cores in two racks."""
+    """Returns four workers with four free cores each, in two racks."""
     made = {}
     for number in range(4):
         rack = f"r1-{number // 2}"
@@ -31,28 +31,28 @@
 
 
 def demand(tasks, cores_milli=1000, **fields):
-    """Returns a demand."""
+    """Returns a demand for a number of tasks of 10 MB each."""
     need = model.Resources(cores_milli, 10, 0)
     return views.Demand(tasks=tasks, need=need, **fields)
 
 
 def test_gang_is_placed_whole_or_not_at_all(hosts):
-    """A gang that does not fit takes no room."""
+    """No capacity is reserved for a gang that does not fit as a whole."""
     assert placement.place(demand(17, gang=True), hosts, score=SCORE) == []
     assert hosts["h0"].cores_milli == 4000
     chosen = placement.place(demand(16, gang=True), hosts, score=SCORE)
     assert len(chosen) == 16
 
 
-def test_no_host_is_overfilled(hosts):
-    """Tasks beyond the room stay unplaced."""
+def test_placement_stays_within_capacity(hosts):
+    """Tasks that exceed the free capacity are not placed."""
     chosen = placement.place(demand(30, 1500), hosts, score=SCORE)
     assert len(chosen) == 8
     assert all(host.cores_milli >= 0 for host in hosts.values())
 
 
-def test_label_bound_and_permission_hold(hosts):
-    """Only permitted workers with the label get tasks, up to the bound."""
+def test_label_per_worker_limit_and_permission_are_respected(hosts):
+    """Only permitted workers with the label get tasks, up to the limit."""
     wanted = demand(
         9,
         label="a",
@@ -65,21 +65,21 @@
 
 
 def test_gang_stays_in_one_rack_if_it_can(hosts):
-    """A gang that is slowed by two racks gets one."""
+    """A gang that should stay in one rack is placed in one if it fits."""
     chosen = placement.place(
         demand(8, gang=True, one_rack=True), hosts, score=SCORE
     )
     assert len({hosts[name].rack for name in chosen}) == 1
 
 
-def test_data_rack_comes_first(hosts):
-    """Tasks go to the rack of their data while there is room."""
+def test_data_rack_is_preferred(hosts):
+    """Tasks are placed in the rack of their data while capacity is free."""
     chosen = placement.place(demand(8, data_rack="r1-1"), hosts, score=SCORE)
     assert {hosts[name].rack for name in chosen} == {"r1-1"}
 
 
-def test_workers_are_kept_where_a_gang_fits_first(hosts):
-    """The workers that become free first are kept, no more of them."""
+def test_workers_are_reserved_where_a_gang_fits_earliest(hosts):
+    """Only as many workers as the gang needs are reserved."""
     used = model.Resources(4000, 10, 0)
     futures = []
     for number, host in enumerate(hosts.values()):
@@ -92,8 +92,8 @@
     assert reservation.reserve(demand(17, gang=True), futures) is None
 
 
-def test_urgent_work_is_never_behind_patient_work():
-    """Work that can still be in time comes before what is late."""
+def test_urgent_steps_precede_patient_ones():
+    """Steps that can meet their objective precede late ones."""
     rank = ranking.RANKINGS["slack"]
 
     def waiting(priority, objective_ms, arrived_ms=0.0):
@@ -112,8 +112,8 @@
     assert urgent < tight < patient < late < lost
 
 
-def test_chain_follows_the_longest_path():
-    """Steps beside each other count once."""
+def test_critical_path_follows_the_longest_path():
+    """Of parallel steps only the longest counts."""
     steps = [
         model.StepSpec(tasks=1, estimate_ms=100),
         model.StepSpec(tasks=1, estimate_ms=300),
@@ -122,8 +122,8 @@
     assert estimates.critical_path_ms(steps, lambda s: s.estimate_ms) == 350
 
 
-def test_learned_durations_correct_declared_ones():
-    """Declared estimates that are far off move towards the mean."""
+def test_recorded_durations_correct_declared_ones():
+    """The estimate lies between the declared duration and the mean."""
     learned = estimates.DurationEstimates()
     for _ in range(300):
         learned.record_duration("q", 1000.0)
--- a/packages/cicadafold/src/cicadafold/scheduling/views.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/views.py
@@ -1,4 +1,4 @@
-"""Views of workers and demands on which decisions are made."""
+"""What the scheduling decisions see of workers and of waiting tasks."""
 
 import msgspec
 
@@ -10,17 +10,17 @@
 
 
 class WorkerView(msgspec.Struct):
-    """A worker as placement sees it; its room shrinks with each choice.
+    """A worker with its free capacity, which placement reserves in turn.
 
     Attributes:
         id: Name of the worker.
-        rack: Label that names its rack, or empty.
+        rack: Label that names the rack of the worker, or empty.
         domain: Failure domain.
-        labels: Its labels.
-        cores_milli: Free thousandths of a core.
-        memory_mb: Free megabytes.
-        accelerators: Free accelerators.
-        speed: Learned speed; 1 is usual.
+        labels: Labels of the worker.
+        cores_milli: Free capacity in thousandths of a core.
+        memory_mb: Free memory in megabytes.
+        accelerators: Number of free accelerators.
+        speed: Measured speed relative to the median of the pool, which is 1.
     """
 
     id: str
@@ -33,7 +33,11 @@
     speed: float = 1.0
 
     def max_tasks(self, resources):
-        """Returns how many tasks of a size fit into the free room."""
+        """Returns how many tasks fit into the free capacity.
+
+        Args:
+            resources: Resources that one task needs.
+        """
         counts = [
             free // size
             for free, size in (
@@ -46,16 +50,17 @@
         return max(0, min(counts)) if counts else UNBOUNDED
 
     def reserve(self, resources, count=1):
-        """Takes room for tasks."""
+        """Reserves resources for a number of equal tasks."""
         self.cores_milli -= resources.cores_milli * count
         self.memory_mb -= resources.memory_mb * count
         self.accelerators -= resources.accelerators * count
 
     def release(self, resources, count=1):
-        """Gives back room of tasks."""
+        """Releases the resources of a number of equal tasks."""
         self.reserve(resources, -count)
 
 
+# Tasks that fit on a worker if a task needs no resources at all.
 UNBOUNDED = 1_000_000
 
 
@@ -64,15 +69,16 @@
 
     Attributes:
         tasks: Number of tasks.
-        need: Room of one task.
-        gang: Whether all must be placed or none.
+        need: Resources that one task needs.
+        gang: Whether either all tasks are placed or none.
         one_rack: Whether a gang should stay within one rack.
-        label: Label that the worker must carry, or empty.
+        label: Label that a worker must have, or empty.
         data_rack: Rack to prefer, or empty.
-        per_host: Most tasks of the step on one worker; 0 is no bound.
-        present: Tasks of the step that each worker already has.
-        allowed: Workers that may be used, None for all.
-        avoid: Workers to use only if nothing else is free.
+        per_host: Most tasks of the step on one worker; 0 for no limit.
+        running_per_worker: Number of tasks of the step that may already run
+            on each worker, by name of the worker.
+        allowed: Names of the workers that may be used, or None for all.
+        avoid: Names of workers to use only if no other has free capacity.
     """
 
     tasks: int
@@ -87,7 +93,7 @@
     avoid: object = ()
 
     def max_tasks_on(self, worker):
-        """Returns how many of the tasks a worker can take now."""
+        """Returns how many of the tasks fit on a worker now."""
         if self.allowed is not None and worker.id not in self.allowed:
             return 0
         if self.label and self.label not in worker.labels:
@@ -100,7 +106,7 @@
 
 
 def rack_of(labels):
-    """Returns the label that names the rack, or an empty text.
+    """Returns the first label that names a rack, or an empty string.
 
     Examples:
         >>> rack_of(("a", "r1-3"))
