--- a/packages/cicadafold/src/cicadafold/dispatch/placing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/placing.py
@@ -5,7 +5,7 @@
 from cicadafold import clock
 from cicadafold.dispatch import runs
 from cicadafold.dispatch import ticketing
-from cicadafold.platform import worker_calls
+from cicadafold.platform import worker_client
 from cicadafold.scheduling import estimates
 from cicadafold.scheduling import placement
 from cicadafold.scheduling import ranking
@@ -34,7 +34,7 @@
 BACKFILL_FACTOR = 1.2
 
 LOG = logs.get_logger("placing")
-Result = worker_calls.StartResult
+Result = worker_client.CommandResult
 
 
 class Placer:
@@ -369,7 +369,7 @@
             # This process stalled after the placement; nothing was sent.
             link.events.on_run_gone(worker, run, "stalled")
             return
-        command = worker_calls.StartOrder(
+        command = worker_client.StartCommand(
             name=task.name,
             attempt=run.attempt,
             payload=task.step.job.spec.payload,
@@ -380,11 +380,11 @@
             ticket=ticket,
         )
         result = await link.start(run, command)
-        if result is Result.NO_TICKET:
+        if result is Result.INVALID_TICKET:
             task.step.tickets.pop(worker.report.id, None)
         elif result is Result.UNHEALTHY:
             worker.quarantined_until_ms = clock.monotonic_ms() + MILLISECONDS
-        if result is not Result.TAKEN and task.step.spec.gang:
+        if result is not Result.ACCEPTED and task.step.spec.gang:
             link.events.stop_attempt(task.step, run.attempt)
         self.wake()
 
--- a/packages/cicadafold/src/cicadafold/dispatch/runs.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/runs.py
@@ -270,7 +270,7 @@
         Returns:
             End in milliseconds by the worker's clock.
         """
-        until = int(self.clock.at_least(at_ms=now_ms) + lease_ms)
+        until = int(self.clock.lower_bound_ms(at_ms=now_ms) + lease_ms)
         self.deadline_ms = max(self.deadline_ms, until)
         return until
 
@@ -284,10 +284,12 @@
         """
         if self.silent_since_ms is None:
             self.silent_since_ms = now_ms
-        if self.clock.seen_ms is None:
+        if self.clock.updated_ms is None:
             left_ms = longest_ms - (now_ms - self.known_since_ms)
         else:
-            left_ms = self.deadline_ms - self.clock.at_least(at_ms=now_ms)
+            left_ms = self.deadline_ms - self.clock.lower_bound_ms(
+                at_ms=now_ms
+            )
         if self.lapse_at_ms is None:
             self.lapse_at_ms = (
                 now_ms
