--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -116,7 +116,7 @@
         self.advice = advice_client.AdviceClient(
             session=self.peer_session, address=settings.advice_address
         )
-        self.own_handle = advising.AdviceLine(
+        self.own_handle = advising.PeerHandle(
             member=self.member,
             ask=self.advice.advise,
             election_priority=settings.election_priority,
@@ -233,7 +233,7 @@
             [hello.address], [hello.address] if preferred else ()
         )
         calls = peer_client.PeerClient(peer=peer)
-        self.peers[peer] = advising.AdviceLine(
+        self.peers[peer] = advising.PeerHandle(
             member=hello.member,
             ask=calls.advise,
             election_priority=hello.strength,
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_table.py
@@ -94,14 +94,14 @@
     worker.fenced = True
     asyncio.run(record_durably(table, journal))
     now_ms = clock.monotonic_ms()
-    worker.silent(now_ms, 6000.0)
+    worker.mark_silent(now_ms, 6000.0)
     table.record_workers(table.inherited_runs.worker_records())
-    assert not worker.closed
+    assert not worker.closed_to_starts
     monkeypatch.setattr(clock, "monotonic_ms", lambda: now_ms + 900.0)
     table.record_workers(table.inherited_runs.worker_records())
-    assert worker.closed
+    assert worker.closed_to_starts
     assert journal.listed[0].tasks == []
-    worker.answered()
+    worker.mark_answering()
     assert not worker.usable(now_ms + 900.0)
     asyncio.run(record_durably(table, journal))
     assert worker.usable(now_ms + 900.0)
@@ -114,4 +114,4 @@
     table.add(report)
     table.inherited_runs.load(known, types.SimpleNamespace(find=None))
     table.open_inherited()
-    assert not table.workers["w"].closed
+    assert not table.workers["w"].closed_to_starts
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
@@ -79,7 +79,7 @@
         task = run.task
         if task is None or task.step.spec.lasting or task.step.spec.fills:
             return None
-        return self.estimates.step_ms(task.step)
+        return self.estimates.step_task_duration_ms(task.step)
 
     def on_capacity_changed(self):
         """Handles that free capacity may have increased."""
@@ -119,7 +119,7 @@
             to be handled later.
         """
         key = (end.name, end.attempt)
-        if self.job_table.unknown(
+        if self.job_table.is_unknown(
             end.name
         ) and self.unknown_runs.may_become_known(key):
             return None
@@ -191,13 +191,15 @@
         Returns:
             Number of the journal batch that records it.
         """
-        worker.faults = 0
-        worker.faulty_jobs = frozenset()
+        worker.quarantines_in_a_row = 0
+        worker.failed_jobs = frozenset()
         if run is not None and not task.done:
             ran_ms = clock.monotonic_ms() - run.started_ms
             if not task.checkpoint:
-                self.estimates.learn(task.step.job.spec.queue, ran_ms)
-        return self.job_table.task_done(task)
+                self.estimates.record_duration(
+                    task.step.job.spec.queue, ran_ms
+                )
+        return self.job_table.complete_task(task)
 
     def on_task_failed(self, worker, task, end):
         """Counts a failure for its task, and for the worker if it may be.
@@ -215,7 +217,7 @@
             return 0
         if task.step.spec.gang:
             self.restart_gang(task.step, end.attempt)
-        return self.job_table.task_failed(task, end.attempt)
+        return self.job_table.record_task_failure(task, end.attempt)
 
     def quarantine_if_faulty(self, worker, job):
         """Counts a failed job of a worker, and quarantines it after several.
@@ -224,17 +226,18 @@
             worker: Worker on which a task has failed.
             job: Identifier of the task's job.
         """
-        worker.faulty_jobs = worker.faulty_jobs | {job}
+        worker.failed_jobs = worker.failed_jobs | {job}
         # After a quarantine, one failed job without a success is enough.
-        jobs_needed = 1 if worker.faults else QUARANTINE_JOBS
-        if len(worker.faulty_jobs) < jobs_needed:
+        jobs_needed = 1 if worker.quarantines_in_a_row else QUARANTINE_JOBS
+        if len(worker.failed_jobs) < jobs_needed:
             return
-        worker.faults += 1
+        worker.quarantines_in_a_row += 1
         pause_ms = min(
-            MAX_QUARANTINE_MS, QUARANTINE_MS * 2 ** (worker.faults - 1)
+            MAX_QUARANTINE_MS,
+            QUARANTINE_MS * 2 ** (worker.quarantines_in_a_row - 1),
         )
         worker.quarantined_until_ms = clock.monotonic_ms() + pause_ms
-        worker.faulty_jobs = frozenset()
+        worker.failed_jobs = frozenset()
         LOG.warning(
             "A worker is quarantined after failures of its tasks; it gets no "
             "new tasks during the pause.",
@@ -270,7 +273,7 @@
         LOG.info(
             "A run attempt no longer exists, reason: %s.",
             reason,
-            fields=runs.run_fields(run),
+            fields=runs.run_log_fields(run),
         )
         task = run.task
         if task is None or task.done:
@@ -294,7 +297,7 @@
         job = self.job_table.jobs.get(row.name.job)
         room = task_resources(job, row.name, worker)
         now_ms = clock.monotonic_ms()
-        run = runs.Run(
+        run = runs.RunAttempt(
             task=task,
             name=row.name,
             attempt=row.attempt,
@@ -305,7 +308,7 @@
         )
         run.answered_ms = now_ms
         run.percent = row.percent
-        if self.job_table.unknown(row.name):
+        if self.job_table.is_unknown(row.name):
             self.keep_unknown_run(worker, run, row)
             return
         adopted = (
@@ -357,7 +360,7 @@
         for run in self.unknown_runs.pop_without_record():
             LOG.warning(
                 "Stopping a run attempt whose job has no record.",
-                fields=runs.run_fields(run),
+                fields=runs.run_log_fields(run),
             )
             self.stop_run(run)
 
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -152,7 +152,7 @@
         # is lost must not postpone the time by which the lease has lapsed.
         if wait and worker.clock.updated_ms is not None:
             wait_ms = 0 if worker.unrecorded else RENEW_WAIT_MS
-            deadline_ms = worker.lease_until(self.lease.lease_ms, sent_ms)
+            deadline_ms = worker.extend_lease(self.lease.lease_ms, sent_ms)
         acknowledged = self.acknowledgement_to_send(sent_ms) if wait else 0
         found = await self.client.renew(
             acknowledged=acknowledged,
@@ -208,7 +208,7 @@
                 fields={"worker": worker.report.id, "runs": len(worker.runs)},
             )
             self.events.on_silent(worker)
-        worker.silent(now_ms, self.lease.max_lease_ms)
+        worker.mark_silent(now_ms, self.lease.max_lease_ms)
         if now_ms >= worker.lapse_at_ms and not worker.lapsed:
             worker.lapsed = True
             LOG.warning(
@@ -244,7 +244,7 @@
             self.events.on_answering(worker)
         worker.born_ms = found.born_ms
         worker.clock.update(found.clock_ms, at_ms=now_ms)
-        worker.answered()
+        worker.mark_answering()
         worker.fenced = True
         self.ends_deferred = not all(map(self.apply_end, found.ends))
         self.apply_progress(found.rows, now_ms)
@@ -265,11 +265,11 @@
             "A worker has restarted.",
             fields={"worker": worker.report.id, "born_ms": found.born_ms},
         )
-        worker.reset_counts()
+        worker.reset_end_numbers()
         self.confirmed_number = 0
         worker.deadline_ms = 0
         now_ms = clock.monotonic_ms()
-        for run in worker.take_late_orders(now_ms):
+        for run in worker.pop_unconfirmed_starts(now_ms):
             worker.add(run)
         for run in list(worker.runs.values()):
             answered = run.answered_ms is not None
@@ -278,9 +278,9 @@
                 continue
             # A late start command may still reach the new incarnation, which
             # does not know of stops that the old one has answered.
-            if run.uncertain or run.state is State.STARTING:
-                run.state = State.DOUBTFUL
-                run.stopped_ms = None
+            if run.start_unconfirmed or run.state is State.STARTING:
+                run.state = State.UNCONFIRMED
+                run.stop_answered_ms = None
                 self.schedule_stop(run)
             else:
                 self.events.on_run_gone(worker, run, "worker restarted")
@@ -293,15 +293,15 @@
             lists it and all later ones again.
         """
         worker = self.worker
-        if end.number <= worker.seen:
+        if end.number <= worker.handled_end:
             return True
         run = worker.runs.get((end.name, end.attempt))
         if run is not None:
-            run.uncertain = False
+            run.start_unconfirmed = False
         batch = self.events.on_end(worker, end, run)
         if batch is None:
             return False
-        worker.seen = end.number
+        worker.handled_end = end.number
         if run is not None:
             worker.remove(run)
         worker.unrecorded.append((end.number, batch))
@@ -319,15 +319,15 @@
             if run is None:
                 self.events.on_unexpected_run(self.worker, row)
                 continue
-            run.uncertain = False
-            if run.state in (State.STARTING, State.DOUBTFUL):
+            run.start_unconfirmed = False
+            if run.state in (State.STARTING, State.UNCONFIRMED):
                 run.state = State.RUNNING
                 run.answered_ms = now_ms
-            first = run.rated_ms is None
+            first = run.rate_measured_ms is None
             self.measure_speed(run, row, now_ms)
             run.reading = row.reading
             if first or row.percent > run.percent:
-                run.percent_ms = now_ms
+                run.progress_changed_ms = now_ms
             run.percent = row.percent
             if run.task is not None:
                 run.task.save_checkpoint(row.checkpoint, row.percent)
@@ -343,10 +343,10 @@
             row: Its entry in the inventory.
             now_ms: Monotonic time, in milliseconds.
         """
-        before_ms, before = run.rated_ms, run.percent
+        before_ms, before = run.rate_measured_ms, run.percent
         if before_ms is not None and now_ms - before_ms < MIN_MEASURED_MS:
             return
-        run.rated_ms = now_ms
+        run.rate_measured_ms = now_ms
         if before_ms is None or row.percent >= WHOLE_PERCENT:
             return
         expected_ms = self.events.expected_ms(run)
@@ -355,7 +355,7 @@
         if expected_ms is not None and not run.task.step.spec.gang:
             gained = (row.percent - before) / WHOLE_PERCENT
             rate = gained * expected_ms / (now_ms - before_ms)
-            self.worker.meter.observe(run.name.job, rate, now_ms)
+            self.worker.speed_meter.record_rate(run.name.job, rate, now_ms)
 
     def remove_missing(self, listed, sent_ms):
         """Removes the run attempts that the worker no longer lists.
@@ -371,7 +371,10 @@
         for run in list(self.worker.runs.values()):
             if run.key in listed:
                 continue
-            if run.stopped_ms is not None and run.stopped_ms < sent_ms:
+            if (
+                run.stop_answered_ms is not None
+                and run.stop_answered_ms < sent_ms
+            ):
                 self.events.on_run_gone(self.worker, run, "stopped")
             elif (
                 run.state is State.RUNNING
@@ -398,7 +401,7 @@
             LOG.warning(
                 "A start command was not answered: %s",
                 error,
-                fields=runs.run_fields(run),
+                fields=runs.run_log_fields(run),
             )
             self.on_unconfirmed_start(run, error)
             return None
@@ -407,13 +410,13 @@
             if run.state is State.STARTING:
                 run.state = State.RUNNING
             run.answered_ms = now_ms
-            if run.stop_wanted:
+            if run.stop_requested:
                 self.schedule_stop(run)
             return result
         LOG.info(
             "A start command was refused: %s.",
             result.value,
-            fields=runs.run_fields(run),
+            fields=runs.run_log_fields(run),
         )
         if result is Result.FENCED:
             self.events.on_fenced(self.worker)
@@ -436,16 +439,16 @@
             self.events.on_run_gone(self.worker, run, "unreachable")
             return
         if run.state is State.STARTING:
-            run.state = State.DOUBTFUL
-            run.uncertain = True
+            run.state = State.UNCONFIRMED
+            run.start_unconfirmed = True
             self.schedule_stop(run)
 
     def schedule_stop(self, run):
         """Starts a task that stops a run attempt, unless one is running."""
-        run.stop_wanted = True
-        if run.stopping:
+        run.stop_requested = True
+        if run.stop_in_progress:
             return
-        run.stopping = True
+        run.stop_in_progress = True
         self.events.spawn(self.stop(run))
 
     async def stop(self, run):
@@ -456,7 +459,7 @@
                     return
                 await asyncio.sleep(STOP_PAUSE_S)
         finally:
-            run.stopping = False
+            run.stop_in_progress = False
 
     async def send_stop(self, run):
         """Sends one stop command.
@@ -480,6 +483,6 @@
             return True
         if result is not Result.ACCEPTED and result is not Result.SUPERSEDED:
             return False
-        run.stopped_ms = clock.monotonic_ms()
+        run.stop_answered_ms = clock.monotonic_ms()
         run.state = State.STOPPING
         return True
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
@@ -106,7 +106,9 @@
     def add(self, report):
         """Adds the worker of a report, with its link."""
         worker = runs.Worker(report=report, now_ms=clock.monotonic_ms())
-        worker.begun_ms = max(self.term_started_ms, worker.begun_ms)
+        worker.known_since_ms = max(
+            self.term_started_ms, worker.known_since_ms
+        )
         self.workers[report.id] = worker
         link = worker_link.WorkerLink(
             worker=worker,
@@ -176,7 +178,7 @@
     @property
     def open_workers(self):
         """Workers that may be given tasks according to their records."""
-        return [x for x in self.workers.values() if not x.closed]
+        return [x for x in self.workers.values() if not x.closed_to_starts]
 
     def record_workers(self, listed):
         """Writes the records of the workers, and closes or opens workers.
@@ -192,15 +194,15 @@
         for known in listed:
             worker = self.workers[known.report.id]
             if known.tasks is not None:
-                worker.closed = True
-            elif worker.closed:
+                worker.closed_to_starts = True
+            elif worker.closed_to_starts:
                 worker.open_batch = batch
                 self.opening.add(worker)
 
     def open_inherited(self):
         """Opens the workers that were open in the last term's record."""
         for name in self.inherited_runs.open_names & set(self.workers):
-            self.workers[name].closed = False
+            self.workers[name].closed_to_starts = False
 
     async def open_when_recorded(self):
         """Opens workers whenever their records have become durable."""
@@ -209,7 +211,7 @@
             durable = self.journal.durable_batch
             ready = [x for x in self.opening if x.open_batch <= durable]
             for worker in ready:
-                worker.closed = False
+                worker.closed_to_starts = False
                 self.opening.discard(worker)
             if ready:
                 self.wake()
