--- a/packages/cicadafold/src/cicadafold/election/__init__.py
+++ b/packages/cicadafold/src/cicadafold/election/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of the one scheduler of the cell."""
+"""Election of the process that is the scheduler of the cell."""
--- a/packages/cicadafold/src/cicadafold/election/candidate.py
+++ b/packages/cicadafold/src/cicadafold/election/candidate.py
@@ -1,4 +1,4 @@
-"""Decides when this process claims the scheduler's role."""
+"""Decides when this process claims the next term of the scheduler."""
 
 import asyncio
 import random
@@ -13,52 +13,65 @@
 
 GROUP = "schedulers"
 TOPIC = "keyed.control"
+# The member that holds this partition of the topic is the successor.
 SUCCESSOR_PARTITION = 0
-# The store's lowest time to live is in the settings; joins come at a third
-# of it, so that two may be lost.
+# Joins per time to live of the membership, so that two successive ones may be
+# lost. The settings hold the shortest time to live that the store accepts.
 JOINS_PER_TTL = 3.0
 MILLISECONDS = 1000
 LOST_CLAIM_PAUSE_S = 0.3
-# Pause between looks at a scheduler that may be gone; its spread is wider
-# than the time of a claim.
+# Bounds of the random pause between two checks for a lost scheduler. They
+# differ by more than the duration of a claim, so that processes seldom claim
+# at the same time.
 LOSS_CHECK_PAUSE_S = (0.1, 0.35)
-# A host of one whole core on an ample link is strong; others wait longer.
+# Election priority of a host with a whole core and an ample link. Processes
+# on hosts below it wait longer before they claim.
 FULL_PRIORITY = 1.0
 LOW_PRIORITY_DELAY_S = 0.3
-# A healthy scheduler answers within a round trip between regions.
+# A healthy scheduler answers within one round trip between regions.
 HEALTH_TIMEOUT_S = 0.25
-# A scheduler that the store serves again is well within a few reads.
-UNWELL_GRACE_MS = 1000.0
-# Time in which a new term is not judged by the group's choice.
-# It covers the recovery on a host with a narrow link.
+# A scheduler is healthy again within a few reads after an outage of the store.
+DEGRADED_GRACE_MS = 1000.0
+# Age below which a term is not replaced by the successor of the group. It
+# covers the recovery of a scheduler on a host with a narrow link.
 NEW_TERM_GRACE_MS = 3000.0
 
 LOG = logs.get_logger("election")
 
 
 class Candidate:
-    """Keeps this process in the group and claims a term when it leads.
+    """Keeps this process in the group of candidates and claims terms.
 
-    The group only chooses who claims next and notices deaths. What counts
-    is the order of claims in the log, and the fence at each worker.
+    The store's group membership detects failed processes and assigns the
+    role of the successor, which should claim next, to one member. It does not
+    decide who is the scheduler: that is the order of the claims in the log,
+    enforced by the fence at each worker.
 
     Args:
         store: Client of the store.
-        claims: Tail of the claims.
-        member: Name of this process, new at each start.
-        address: IP number and port for the links of the peers.
-        ttl_ms: Milliseconds after which the store drops a silent member.
-        serving: Function that tells whether this process serves the
-            newest claim of its own.
-        health: Coroutine function that asks the scheduler of the newest
-            claim how its term is; None means no answer.
-        scheduler_gone: Function that tells whether the process of the
-            newest claim is known to be gone.
-        ask_strong: Coroutine function that asks strong hosts to replace a
-            term, without the address of its scheduler; tells whether one
-            has.
-        strength: How well this host can carry a scheduler; weak hosts let
-            others go first.
+        claims: ``ClaimsTail`` of this process.
+        member: Name of this process, different after each start.
+        address: IP address and port at which peers open links to it.
+        ttl_ms: Milliseconds after which the store removes a member that does
+            not join again.
+        is_serving: Function that returns whether this process serves a term.
+        health: Coroutine function that returns the ``Health`` of the term of
+            the newest claim, or None if its process does not answer.
+        scheduler_gone: Function that returns whether the process of the
+            newest claim is known to have ended.
+        delegate_claim: Coroutine function that asks hosts of high priority to
+            replace a term, except the one at the given address, and returns
+            whether one has done so.
+        election_priority: How well this host can carry a scheduler. Processes
+            on hosts below ``FULL_PRIORITY`` let others claim first.
+
+    Attributes:
+        low_priority: Whether the priority is below ``FULL_PRIORITY``.
+        claim_delay_s: Additional seconds between checks for a lost scheduler.
+        generation: Number of the group's last change known to this process.
+        is_successor: Whether the group has assigned this process the role of
+            the successor.
+        leaving: Whether this process is leaving the group.
     """
 
     def __init__(
@@ -91,16 +104,17 @@
         self.leaving = False
 
     async def run(self):
-        """Joins again and again until the process leaves."""
+        """Renews the membership and watches the scheduler until it leaves."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.maintain_membership())
             group.create_task(self.replace_lost_scheduler())
 
     async def replace_lost_scheduler(self):
-        """Claims at once when the scheduler's process is gone.
+        """Claims the next term when the scheduler's process is lost.
 
-        All processes may see that; a random pause lets one be first, and
-        the others find its claim in the log.
+        All processes may detect that at the same time. With a random pause
+        between checks, one usually claims first and the others find its claim
+        in the log.
         """
         while not self.leaving:
             pause_s = random.uniform(*LOSS_CHECK_PAUSE_S)
@@ -112,7 +126,7 @@
                 await self.take_over(newest.term)
 
     async def term_ended(self):
-        """Whether the process of the newest claim serves no term."""
+        """Whether the process of the newest claim answers with no term."""
         health = await self.health(timeout_s=HEALTH_TIMEOUT_S)
         return health is messages.Health.NO_TERM
 
@@ -120,24 +134,27 @@
         """Claims the next term unless another process has done so.
 
         Args:
-            term: Newest term, which has ended.
+            term: Term that has ended.
 
         Returns:
-            Whether a later term is known now.
+            Whether a term later than that is known now.
         """
         if self.leaving:
             return False
         try:
             await self.claims.read_once(wait_ms=0)
             if self.newest_term() <= term:
-                LOG.info("A term has ended.", fields={"term": term})
+                LOG.info(
+                    "A term has ended; claiming the next one.",
+                    fields={"term": term},
+                )
                 await self.claim(after=term)
         except (exception.LogUnavailable, exception.LinkLost) as error:
-            LOG.debug("The claims cannot be read: %s", error)
+            LOG.debug("The next term could not be claimed: %s", error)
         return self.newest_term() > term
 
     async def maintain_membership(self):
-        """Stays in the group and claims when it names this process."""
+        """Renews the membership, and claims if this is the successor."""
         pause_s = self.ttl_ms / MILLISECONDS / JOINS_PER_TTL
         while not self.leaving:
             try:
@@ -145,14 +162,19 @@
                 if self.is_successor and not await self.scheduler_serves():
                     await self.claim_or_delegate()
             except (exception.LogUnavailable, exception.LinkLost) as error:
-                LOG.debug("The group cannot be joined: %s", error)
+                LOG.debug(
+                    "Joining the group or claiming a term failed and is "
+                    "retried: %s",
+                    error,
+                )
             await asyncio.sleep(pause_s)
 
     async def claim_or_delegate(self):
-        """Claims the next term, if no strong host does it for a weak one.
+        """Claims the next term unless a host of higher priority does so.
 
-        A weak host takes seconds to read the journal, and its link is full
-        meanwhile, so that it seems to be gone itself.
+        A process of low priority first asks hosts of high priority to claim.
+        It would take seconds to read the journal itself, and its saturated
+        link would make it look lost to its peers meanwhile.
         """
         newest = self.claims.newest
         term = self.newest_term()
@@ -162,7 +184,7 @@
         await self.claim(after=term)
 
     async def join_once(self):
-        """Stays in the group and notes whether this process leads."""
+        """Joins the group, or renews the membership, and updates the role."""
         found = await self.store.join(
             GROUP,
             self.member,
@@ -174,18 +196,19 @@
         is_successor = (TOPIC, SUCCESSOR_PARTITION) in found.held
         if is_successor != self.is_successor:
             LOG.info(
-                "The group names this process the next scheduler."
+                "This process is now the successor of the scheduler."
                 if is_successor
-                else "The group names another process.",
+                else "This process is no longer the successor of the "
+                "scheduler.",
                 fields={"generation": found.generation},
             )
         self.is_successor = is_successor
 
     async def scheduler_serves(self):
-        """Whether a scheduler does its work, here or elsewhere.
+        """Whether a scheduler serves its term, in this process or another.
 
-        The group moves its choice whenever members come and go; a term
-        that works is not ended for that.
+        The group may assign the successor anew whenever members come and go;
+        that alone does not end a term that is served.
         """
         newest = self.claims.newest
         if newest is None:
@@ -194,23 +217,30 @@
             return self.is_serving()
         age_ms = clock.monotonic_ms() - self.claims.newest_at_ms
         if age_ms < NEW_TERM_GRACE_MS:
-            # Links to a new scheduler are still made; one whose process
-            # ends meanwhile is replaced without the group.
+            # Peers may not have opened their links to a new scheduler yet. If
+            # its process ends meanwhile, ``replace_lost_scheduler`` claims.
             return True
         health = await self.health(timeout_s=HEALTH_TIMEOUT_S)
         if health is messages.Health.DEGRADED:
-            # After an outage the scheduler needs a moment, as we did.
-            served_ms = clock.monotonic_ms() - self.store.failed_ms
-            return served_ms < UNWELL_GRACE_MS
+            # After an outage of the store the scheduler needs some time to
+            # recover, as this process did.
+            recovered_ms = clock.monotonic_ms() - self.store.failed_ms
+            return recovered_ms < DEGRADED_GRACE_MS
         return health is messages.Health.HEALTHY
 
     def newest_term(self):
-        """Returns the newest term known, 0 if there is none."""
+        """Returns the newest term known to this process, or 0 if none is."""
         newest = self.claims.newest
         return 0 if newest is None else newest.term
 
     async def claim(self, *, after):
-        """Claims the term after another; the tail of the claims begins it."""
+        """Tries to claim the next term.
+
+        If the claim holds, the claims tail reads it and starts the term.
+
+        Args:
+            after: Newest term that the claim may replace.
+        """
         claim = terms.Claim(member=self.member, address=self.address)
         term = await terms.claim_term(
             self.store, self.claims, claim, after=after
@@ -220,10 +250,14 @@
             await asyncio.sleep(LOST_CLAIM_PAUSE_S)
 
     async def leave(self):
-        """Leaves the group, so that the next process need not wait."""
+        """Leaves the group, so that the next successor is assigned at once."""
         self.leaving = True
         self.is_successor = False
         try:
             await self.store.leave(GROUP, self.member)
         except (exception.LogUnavailable, exception.LinkLost) as error:
-            LOG.warning("The group could not be left: %s", error)
+            LOG.warning(
+                "The group could not be left; the store removes this process "
+                "when its membership expires: %s",
+                error,
+            )
--- a/packages/cicadafold/src/cicadafold/election/terms.py
+++ b/packages/cicadafold/src/cicadafold/election/terms.py
@@ -1,4 +1,4 @@
-"""Terms of schedulers: claims in the log, in the order of the log."""
+"""Terms of the scheduler: claims in the log, which orders them."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 CONTROL_TOPIC = "keyed.control"
 PARTITION = 0
 KEY = "scheduler"
-# A read waits at the store until a claim comes.
+# Time for which the store holds a read until a claim is appended.
 TAIL_WAIT_MS = 5000
 RETRY_PAUSE_S = 0.2
 
@@ -21,12 +21,13 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """A claim of the scheduler's role.
+    """A claim of a process to be the scheduler of a term.
 
     Attributes:
-        member: Name of the claiming process, new at each of its starts.
-        address: IP number and port for the links of its peers.
-        term: Offset of the claim plus one; 0 while it is not in the log.
+        member: Name of the claiming process, different after each start.
+        address: IP address and port at which peers open links to it.
+        term: Number of the term: the offset of the claim in the log plus
+            one, or 0 if it is not in the log yet.
     """
 
     member: str
@@ -38,15 +39,19 @@
 
 
 class ClaimsTail:
-    """Follows the claims; the newest one names the scheduler.
+    """Follows the claims in the log; the newest one names the scheduler.
 
     Args:
         store: Client of the store.
-        on_claim: Function called with each new claim.
+        on_claim: Function called with each claim that becomes the newest.
 
     Attributes:
-        newest: Newest claim, or None.
-        newest_at_ms: Monotonic time at which it became known.
+        newest: Newest claim known, or None.
+        newest_at_ms: Monotonic time in milliseconds at which it became known.
+        offset: Offset of the next record to read, or None before the first
+            read.
+        read_at_s: Event loop time in seconds of the last successful read, or
+            None.
     """
 
     def __init__(self, *, store, on_claim):
@@ -58,20 +63,30 @@
         self.read_at_s = None
 
     async def run(self):
-        """Reads claims for as long as the process lives."""
+        """Reads and applies claims until cancelled."""
         while True:
             try:
                 await self.read_once(wait_ms=TAIL_WAIT_MS)
             except (exception.LogUnavailable, exception.LinkLost) as error:
-                LOG.debug("Claims cannot be read: %s", error)
+                LOG.debug("Claims cannot be read and are retried: %s", error)
                 await asyncio.sleep(RETRY_PAUSE_S)
 
     async def read_once(self, *, wait_ms):
-        """Reads the claims that have come since the last read."""
+        """Reads and applies the claims appended since the last read.
+
+        Args:
+            wait_ms: Milliseconds for which the store may wait for a claim if
+                there is none.
+
+        Raises:
+            LogUnavailable: The store did not answer.
+            LinkLost: The store did not answer.
+        """
         if self.offset is None:
             await self.read_newest()
             return
-        # Reads may overlap: each numbers its entries from its own start.
+        # Reads may overlap, so each derives the offsets of its entries from
+        # its own start.
         start = self.offset
         try:
             page = await self.store.read(
@@ -82,11 +97,11 @@
             return
         self.offset = max(self.offset, start + len(page.entries))
         self.read_at_s = asyncio.get_running_loop().time()
-        for number, (key, value) in enumerate(page.entries):
-            self.apply_record(key, value, start + number)
+        for index, (key, value) in enumerate(page.entries):
+            self.apply_record(key, value, start + index)
 
     async def read_newest(self):
-        """Reads the newest claim from the store."""
+        """Reads and applies the newest claim, and moves to the log's end."""
         found, resume = await self.store.newest(CONTROL_TOPIC, PARTITION)
         self.offset = resume
         self.read_at_s = asyncio.get_running_loop().time()
@@ -94,59 +109,73 @@
             self.apply_record(record.key, record.value, record.offset)
 
     def apply_record(self, key, value, offset):
-        """Takes a claim if it is newer than the newest known."""
+        """Applies a record of the log if it is a claim.
+
+        Args:
+            key: Key of the record.
+            value: Value of the record; empty if it deletes the key.
+            offset: Offset of the record.
+        """
         if key != KEY or not value:
             return
         try:
             claim = msgspec.structs.replace(decode(value), term=offset + 1)
         except msgspec.MsgspecError as error:
             LOG.warning(
-                "A claim is damaged: %s", error, fields={"offset": offset}
+                "A claim cannot be decoded and is ignored: %s",
+                error,
+                fields={"offset": offset},
             )
             return
         self.apply_claim(claim)
 
     def apply_claim(self, claim):
-        """Takes a claim that was read or announced, if it is newer."""
+        """Applies a claim if it is newer than the newest one known.
+
+        Args:
+            claim: Claim read from the log or announced by its process.
+        """
         if self.newest is not None and claim.term <= self.newest.term:
             return
         self.newest = claim
         self.newest_at_ms = clock.monotonic_ms()
         LOG.info(
-            "A scheduler begins a term.",
+            "A scheduler has claimed a term.",
             fields={"term": claim.term, "scheduler": claim.member},
         )
         self.on_claim(claim)
 
 
 async def claim_term(store, tail, claim, *, after):
-    """Appends a claim behind all claims known.
+    """Appends a claim to the log unless a newer one is found.
 
-    The append holds only if nothing was appended in between, so that one
-    that is executed late never replaces a newer claim.
+    The append is conditional on the log's end, so that one that the store
+    executes late never replaces a newer claim.
 
     Args:
         store: Client of the store.
-        tail: Tail of the claims, read to its end before the append.
-        claim: Claim without its term.
+        tail: ``ClaimsTail`` that is read to the log's end before the append.
+        claim: Claim of this process, whose term is not set yet.
         after: Newest term that the claim may replace.
 
     Returns:
-        The term, or None if another claim came first or the answer is lost.
+        The claimed term, or None if another claim came first or the store did
+        not confirm this one.
 
     Raises:
-        LogUnavailable: The store does not answer.
+        LogUnavailable: The store did not append the claim.
+        LinkLost: The store did not answer the read before the append.
     """
     await tail.read_once(wait_ms=0)
     if tail.newest is not None and tail.newest.term > after:
         return None
-    at = tail.offset
+    end = tail.offset
     body = msgspec.json.encode(claim)
     try:
-        done = await store.append(
-            CONTROL_TOPIC, PARTITION, [(KEY, body)], at=at
+        appended = await store.append(
+            CONTROL_TOPIC, PARTITION, [(KEY, body)], at=end
         )
     except (exception.LogMoved, exception.LinkLost) as error:
-        LOG.info("The claim was not confirmed: %s", error)
+        LOG.info("The claim of a term was not confirmed: %s", error)
         return None
-    return done.offset + 1
+    return appended.offset + 1
--- a/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
+++ b/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
@@ -1,4 +1,4 @@
-"""Tests of claims and their numbers."""
+"""Tests of claims, of their terms and of when a process claims."""
 
 import asyncio
 import types
@@ -15,24 +15,24 @@
 
 
 class FakeStore:
-    """A store with one partition that answers reads when told to."""
+    """A store with one partition, whose reads wait until allowed."""
 
     def __init__(self):
         self.entries = []
-        self.release = asyncio.Event()
+        self.reads_allowed = asyncio.Event()
         self.lose_answers = False
 
     async def newest(self, topic, partition):
-        """Returns no records yet."""
+        """Returns no records, and the end of the partition."""
         return [], len(self.entries)
 
     async def read(self, topic, partition, start, *, wait_ms=0):
-        """Waits for the release and returns what follows."""
-        await self.release.wait()
+        """Returns the entries from an offset on, once reads are allowed."""
+        await self.reads_allowed.wait()
         return log_store.ReadPage(len(self.entries), self.entries[start:])
 
     async def append(self, topic, partition, entries, *, at=None):
-        """Appends if the partition still ends there."""
+        """Appends entries if the partition ends at the expected offset."""
         if at is not None and at != len(self.entries):
             raise exception.LogMoved(end=len(self.entries))
         offset = len(self.entries)
@@ -43,19 +43,19 @@
 
 
 def claim_entry(member):
-    """Returns the entry of a claim."""
+    """Returns the log entry of a claim by a member."""
     claim = terms.Claim(member=member, address="127.0.0.1:1")
     return (terms.KEY, msgspec.json.encode(claim))
 
 
 @pytest.fixture
 def claims():
-    """Claims that a tail has taken, in order."""
+    """List for the claims that a tail has applied, in order."""
     return []
 
 
-def test_overlapping_reads_give_a_claim_one_term(claims):
-    """Two reads at once give a claim the term of its own offset."""
+def test_overlapping_reads_apply_a_claim_once(claims):
+    """The term is that of the claim's offset, whichever read returns it."""
 
     async def scenario():
         store = FakeStore()
@@ -66,7 +66,7 @@
         ]
         await asyncio.sleep(0)
         store.entries.append(claim_entry("a"))
-        store.release.set()
+        store.reads_allowed.set()
         await asyncio.gather(*reads)
         assert [claim.term for claim in claims] == [1]
         store.entries.append(claim_entry("b"))
@@ -76,50 +76,50 @@
     asyncio.run(scenario())
 
 
-def test_claim_behind_another_does_not_hold(claims):
-    """A claim is refused when another came first."""
+def test_append_fails_if_another_claim_came_first(claims):
+    """The store refuses a claim whose tail has not seen a newer one."""
 
     async def scenario():
         store = FakeStore()
-        store.release.set()
+        store.reads_allowed.set()
         tail = terms.ClaimsTail(store=store, on_claim=claims.append)
         await tail.read_once(wait_ms=0)
         store.entries.append(claim_entry("a"))
-        mine = terms.Claim(member="b", address="127.0.0.1:2")
+        own_claim = terms.Claim(member="b", address="127.0.0.1:2")
         tail.read_once = lambda *, wait_ms: asyncio.sleep(0)
-        assert await terms.claim_term(store, tail, mine, after=0) is None
+        assert await terms.claim_term(store, tail, own_claim, after=0) is None
         assert len(store.entries) == 1
 
     asyncio.run(scenario())
 
 
-def test_claim_does_not_follow_another_that_came_first(claims):
-    """A process that finds a newer claim while claiming gives way."""
+def test_nothing_is_appended_if_a_newer_claim_is_read(claims):
+    """A process that reads a newer claim before its append gives up."""
 
     async def scenario():
         store = FakeStore()
-        store.release.set()
+        store.reads_allowed.set()
         tail = terms.ClaimsTail(store=store, on_claim=claims.append)
         await tail.read_once(wait_ms=0)
         store.entries.append(claim_entry("a"))
-        mine = terms.Claim(member="b", address="127.0.0.1:2")
-        assert await terms.claim_term(store, tail, mine, after=0) is None
+        own_claim = terms.Claim(member="b", address="127.0.0.1:2")
+        assert await terms.claim_term(store, tail, own_claim, after=0) is None
         assert len(store.entries) == 1
 
     asyncio.run(scenario())
 
 
-def test_claim_with_lost_answer_is_found_by_its_tail(claims):
-    """A claim whose answer is lost begins when the tail shows it."""
+def test_unconfirmed_claim_is_applied_by_the_tail(claims):
+    """A claim whose answer is lost holds once the tail has read it."""
 
     async def scenario():
         store = FakeStore()
-        store.release.set()
+        store.reads_allowed.set()
         store.lose_answers = True
         tail = terms.ClaimsTail(store=store, on_claim=claims.append)
-        mine = terms.Claim(member="b", address="127.0.0.1:2")
+        own_claim = terms.Claim(member="b", address="127.0.0.1:2")
         await tail.read_once(wait_ms=0)
-        assert await terms.claim_term(store, tail, mine, after=0) is None
+        assert await terms.claim_term(store, tail, own_claim, after=0) is None
         await tail.read_once(wait_ms=0)
         assert [(claim.member, claim.term) for claim in claims] == [("b", 1)]
 
@@ -138,8 +138,13 @@
         ("me", messages.Health.HEALTHY, False, 100.0, False),
     ],
 )
-def test_working_term_is_not_ended(newest, health, serving, age_ms, served):
-    """A chosen process claims only if no scheduler does its work."""
+def test_successor_claims_only_if_no_term_is_served(
+    newest, health, serving, age_ms, served
+):
+    """A new term, and one whose scheduler is healthy, count as served.
+
+    Otherwise the successor would end them whenever the group changes.
+    """
 
     async def scenario():
         tail = terms.ClaimsTail(store=None, on_claim=None)
@@ -147,33 +152,35 @@
             tail.newest = terms.Claim(member=newest, address="", term=3)
             tail.newest_at_ms = clock.monotonic_ms() - age_ms
 
-        async def ask(*, timeout_s):
+        async def ask_health(*, timeout_s):
             return health
 
-        made = candidate.Candidate(
+        process = candidate.Candidate(
             store=types.SimpleNamespace(failed_ms=-1e12),
             claims=tail,
             member="me",
             address="",
             ttl_ms=1000,
             is_serving=lambda: serving,
-            health=ask,
+            health=ask_health,
             scheduler_gone=lambda: False,
             delegate_claim=None,
             election_priority=1.0,
         )
-        assert await made.scheduler_serves() is served
+        assert await process.scheduler_serves() is served
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("strength", "strong_claims", "claims"),
+    ("strength", "other_claims", "claims"),
     [(0.2, True, 0), (0.2, False, 1), (2.0, True, 1)],
 )
-def test_weak_host_lets_a_strong_one_claim(strength, strong_claims, claims):
-    """It claims itself only if no strong host does."""
-    asked, made = [], []
+def test_low_priority_process_claims_only_if_no_other_does(
+    strength, other_claims, claims
+):
+    """It first asks processes on hosts of high priority to claim."""
+    asked, claimed = [], []
 
     async def scenario():
         tail = terms.ClaimsTail(store=None, on_claim=None)
@@ -181,12 +188,12 @@
 
         async def delegate_claim(term, *, without):
             asked.append((term, without))
-            return strong_claims
+            return other_claims
 
         async def claim(*, after):
-            made.append(after)
+            claimed.append(after)
 
-        found = candidate.Candidate(
+        process = candidate.Candidate(
             store=None,
             claims=tail,
             member="me",
@@ -198,9 +205,9 @@
             delegate_claim=delegate_claim,
             election_priority=strength,
         )
-        found.claim = claim
-        await found.claim_or_delegate()
+        process.claim = claim
+        await process.claim_or_delegate()
 
     asyncio.run(scenario())
-    assert made == [3] * claims
+    assert claimed == [3] * claims
     assert asked == ([(3, "a:1")] if strength < 1.0 else [])
--- a/packages/cicadafold/src/cicadafold/jobs/__init__.py
+++ b/packages/cicadafold/src/cicadafold/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: their description, their state machine and what is recorded."""
+"""Jobs: specifications, job files and the runtime state of a term."""
--- a/packages/cicadafold/src/cicadafold/jobs/job_file.py
+++ b/packages/cicadafold/src/cicadafold/jobs/job_file.py
@@ -1,4 +1,4 @@
-"""Job files in TOML, as the command line reads them."""
+"""Loads the TOML job files that the command line submits."""
 
 import pathlib
 import tomllib
@@ -12,7 +12,12 @@
 
 
 class StepFile(msgspec.Struct, forbid_unknown_fields=True):
-    """One step of a job file; see ``model.StepSpec`` for the meanings."""
+    """A ``[[step]]`` table of a job file.
+
+    The keys mean the same as the fields of ``model.StepSpec``, except that
+    ``cores_milli``, ``memory_mb`` and ``accelerators`` together form its
+    field ``need``.
+    """
 
     tasks: int = 1
     cores_milli: int = 0
@@ -33,8 +38,8 @@
     fills: bool = False
     may_miss: int = 0
 
-    def spec(self):
-        """Returns the step as the scheduler knows it."""
+    def to_spec(self):
+        """Returns the table as a ``model.StepSpec``."""
         fields = msgspec.structs.asdict(self)
         need = model.Resources(
             fields.pop("cores_milli"),
@@ -46,14 +51,17 @@
 
 
 class JobFile(msgspec.Struct, forbid_unknown_fields=True):
-    """A job file.
+    """Content of a job file.
 
     Attributes:
-        step: Steps in order.
-        payload: Text that is handed to each task.
-        repeats: Number of occurrences; 0 means once, at once.
-        first_due_ms: Unix time in milliseconds of the first occurrence.
-        interval_ms: Time between two occurrences.
+        step: ``[[step]]`` tables in order.
+        payload: Text that is passed to each task.
+        repeats: Number of occurrences; 0 runs the steps once, without
+            waiting for ``first_due_ms``.
+        first_due_ms: Unix time in milliseconds at which the first occurrence
+            is due.
+        interval_ms: Milliseconds between the due times of successive
+            occurrences.
     """
 
     step: list[StepFile]
@@ -64,22 +72,26 @@
 
 
 def load(path):
-    """Reads a job file.
+    """Returns the content of a job file.
+
+    Args:
+        path: Path of the TOML file.
 
     Raises:
-        InvalidCall: The file cannot be read or has a fault.
+        InvalidCall: The file cannot be read, is not valid TOML, has a key of
+            the wrong name or type, or has no step.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
-        found = msgspec.convert(tomllib.loads(text), JobFile)
+        content = msgspec.convert(tomllib.loads(text), JobFile)
     except (OSError, ValueError) as error:
         raise exception.InvalidCall(
-            message=f"The job file {path} has a fault: {error}.",
+            message=f"The job file {path} could not be loaded: {error}.",
             remedy="Compare it with examples/jobs/plan.toml.",
         ) from error
-    if not found.step:
+    if not content.step:
         raise exception.InvalidCall(
-            message=f"The job file {path} has no step.",
-            remedy="Add a [[step]] table.",
+            message=f"The job file {path} has no [[step]] table.",
+            remedy="Add a [[step]] table for each step.",
         )
-    return found
+    return content
--- a/packages/cicadafold/src/cicadafold/jobs/model.py
+++ b/packages/cicadafold/src/cicadafold/jobs/model.py
@@ -1,4 +1,4 @@
-"""Descriptions of jobs, queues and hosts, as the scheduler uses them."""
+"""Specifications of jobs, queues and pools, and reports of workers."""
 
 import enum
 import typing
@@ -28,7 +28,7 @@
 
 
 class JobState(enum.Enum):
-    """What a caller is told about a job."""
+    """State of a job, as reported to its callers."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -38,20 +38,20 @@
 
     @property
     def final(self):
-        """Whether the state never changes again."""
+        """Whether a job in this state never changes state again."""
         return self not in (JobState.QUEUED, JobState.RUNNING)
 
 
 class EndKind(enum.Enum):
-    """How a run ended on its worker.
+    """How a run attempt ended on its worker.
 
     Attributes:
-        DONE: It finished its work.
-        FAILED: It failed, through its own fault or the worker's.
-        STOPPED: It was stopped on request.
-        LAPSED: Its lease expired.
-        BROKEN: Another member of its gang ended.
-        ALONE: The other members of its gang did not come in time.
+        DONE: The task completed.
+        FAILED: The run attempt failed, because of the task or the worker.
+        STOPPED: The run attempt was stopped by a command.
+        LEASE_EXPIRED: The worker stopped it because its lease had expired.
+        GANG_MEMBER_ENDED: Another member of its gang had ended.
+        GANG_INCOMPLETE: The other members of its gang did not start in time.
     """
 
     DONE = "done"
@@ -63,12 +63,12 @@
 
 
 class Resources(msgspec.Struct, frozen=True, array_like=True):
-    """An amount of a worker's room.
+    """An amount of the resources of a worker.
 
     Attributes:
-        cores_milli: Thousandths of a core.
-        memory_mb: Megabytes of memory.
-        accelerators: Whole accelerators.
+        cores_milli: CPU in thousandths of a core.
+        memory_mb: Memory in megabytes.
+        accelerators: Number of accelerators.
     """
 
     cores_milli: int = 0
@@ -76,7 +76,7 @@
     accelerators: int = 0
 
     def fits(self, capacity):
-        """Whether this amount fits into a room."""
+        """Whether a capacity covers this amount of each resource."""
         return (
             self.cores_milli <= capacity.cores_milli
             and self.memory_mb <= capacity.memory_mb
@@ -85,25 +85,30 @@
 
 
 class StepSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One step of a job: a number of equal tasks.
+    """Specification of a step of a job: a number of identical tasks.
 
     Attributes:
         tasks: Number of tasks.
-        need: Room that one task takes.
-        estimate_ms: Rough estimate of a task's duration.
-        after: Numbers of the steps whose tasks must be done before.
-        gang: Whether the tasks only work all together.
-        one_rack: Whether the gang is slowed when it spans racks.
-        label: Label that the worker must carry, or empty.
-        data_rack: Rack where the data lies, or empty.
-        per_host: Most tasks of the step on one worker; 0 means no bound.
-        speculative: Whether copies may run beside each other.
+        need: Resources that each task needs.
+        estimate_ms: Rough estimate of a task's duration in milliseconds.
+        after: Numbers of the steps of the job that must be done before this
+            one starts.
+        gang: Whether the tasks must all run at the same time.
+        one_rack: Whether a gang runs slower on workers of several racks.
+        label: Label that a worker must have, or empty for any worker.
+        data_rack: Rack that holds the input data, or empty.
+        per_host: Maximum number of tasks of the step on one worker; 0 for
+            no limit.
+        speculative: Whether a task may run as several copies at a time.
         lasting: Whether the tasks run until the job is cancelled.
-        checkpoints: Whether the tasks save their progress.
-        image: Name of what the tasks run, or empty.
-        tail_target_ms: Bound of the tail latency that the tasks serve.
-        fills: Whether the tasks only take cores that others leave unused.
-        may_miss: Tasks that the system may make unavailable at a time.
+        checkpoints: Whether the tasks save checkpoints.
+        image: Name of the image that the tasks run, or empty.
+        tail_target_ms: Upper bound in milliseconds for the tail latency of
+            the service that the tasks provide; 0 for none.
+        fills: Whether the tasks only use cores that other tasks leave idle,
+            and so reserve none.
+        may_miss: Maximum number of tasks that the system may make
+            unavailable at the same time.
     """
 
     tasks: int
@@ -125,19 +130,20 @@
 
     @property
     def reserved_resources(self):
-        """Room that one task takes from its worker's capacity."""
+        """Resources that one task reserves of its worker's capacity."""
         if not self.fills:
             return self.need
         return Resources(0, self.need.memory_mb, self.need.accelerators)
 
 
 class AdviceCost(msgspec.Struct, frozen=True):
-    """What a call for advice costs, and how long its tickets hold.
+    """Duration of a call for placement advice, and validity of its tickets.
 
     Attributes:
-        base_ms: Duration of a call.
-        per_host_ms: Additional duration for each worker named.
-        valid_ms: How long a ticket holds.
+        base_ms: Fixed part of the duration of a call, in milliseconds.
+        per_host_ms: Additional duration for each worker that the call names,
+            in milliseconds.
+        valid_ms: Milliseconds for which a ticket is valid.
     """
 
     base_ms: float
@@ -146,18 +152,21 @@
 
 
 class QueueRule(msgspec.Struct, frozen=True):
-    """A queue, as the operators configured it.
+    """Configuration of a queue.
 
     Attributes:
         name: Name of the queue.
-        authority: Host name that callers address.
-        prefix: Start of the paths that belong to the queue.
-        pool: Name of the pool of workers.
-        priority: Rank; 0 comes first and may preempt others.
-        max_failures: Failed runs of a task after which the job fails.
-        stretch: Factor on the chain of work in the latency objective.
-        target_ms: Constant part of the latency objective.
-        advice: Cost of advice, or None if any worker may be used.
+        authority: Host name to which callers send the requests of the queue.
+        prefix: Prefix of the request paths that belong to the queue.
+        pool: Name of the pool of workers that run its jobs.
+        priority: Priority; 0 is the highest and may preempt the others.
+        max_failures: Number of failed run attempts of a task, or of a gang,
+            at which the job fails.
+        stretch: Factor by which the latency objective multiplies the
+            estimated duration of the job's longest chain of steps.
+        target_ms: Constant part of the latency objective, in milliseconds.
+        advice: Cost of placement advice, or None if the queue's tasks may
+            run on any worker without advice.
     """
 
     name: str
@@ -172,18 +181,22 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A job as its caller described it.
+    """Specification of a job, as submitted by its caller.
 
     Attributes:
-        id: Identifier that the caller chose.
-        rule: Rule of its queue when it was accepted.
-        payload: Text that is handed to each task.
+        id: Identifier chosen by the caller.
+        rule: Configuration of its queue at the time of acceptance.
+        payload: Text that is passed to each task.
         steps: Steps in order.
-        accepted_ms: Unix time in milliseconds of the acceptance.
-        waited_ms: Time the call had waited before it was recorded.
-        repeats: Number of occurrences; 0 means once, at once.
-        first_due_ms: Unix time in milliseconds of the first occurrence.
-        interval_ms: Time between two occurrences.
+        accepted_ms: Unix time in milliseconds at which it was accepted.
+        waited_ms: Milliseconds for which the caller's request had waited
+            before then.
+        repeats: Number of occurrences; 0 runs the steps once, without
+            waiting for ``first_due_ms``.
+        first_due_ms: Unix time in milliseconds at which the first occurrence
+            is due.
+        interval_ms: Milliseconds between the due times of successive
+            occurrences.
     """
 
     id: str
@@ -198,17 +211,24 @@
 
     @property
     def queue(self):
-        """Name of the queue."""
+        """Name of the queue that the job was submitted to."""
         return self.rule.name
 
     @property
     def occurrences(self):
-        """How many times the steps run."""
+        """Number of times that the steps run."""
         return max(1, self.repeats)
 
 
 class TaskName(msgspec.Struct, frozen=True):
-    """Name of one task within the cell."""
+    """Name of a task, unique within the cell.
+
+    Attributes:
+        job: Identifier of the job.
+        occurrence: Number of the occurrence, from 0.
+        step: Number of the step within the job, from 0.
+        index: Number of the task within the step, from 0.
+    """
 
     job: str
     occurrence: int
@@ -217,14 +237,15 @@
 
 
 class RunReport(msgspec.Struct, frozen=True):
-    """A running task, as its worker reports it.
+    """Report of a worker on a run attempt that it is executing.
 
     Attributes:
-        name: Task, or None if its name cannot be read.
-        attempt: Number of the run.
-        checkpoint: Newest saved progress, or empty.
+        name: Name of the task, or None if it cannot be parsed.
+        attempt: Number of the run attempt.
+        checkpoint: Newest checkpoint, or empty.
         percent: Progress from 0 to 100.
-        reading: Tail latency in milliseconds, or cores in use.
+        reading: Tail latency in milliseconds of a task that provides a
+            service, or cores in use by a task that fills idle cores.
     """
 
     name: TaskName | None
@@ -235,14 +256,14 @@
 
 
 class EndReport(msgspec.Struct, frozen=True):
-    """An end of a run, as its worker reports it.
+    """Report of a worker on the end of a run attempt.
 
     Attributes:
-        number: Number of the end in this life of the worker.
-        name: Task, or None if its name cannot be read.
-        attempt: Number of the run.
+        number: Sequence number of the end within the worker's incarnation.
+        name: Name of the task, or None if it cannot be parsed.
+        attempt: Number of the run attempt.
         kind: How it ended.
-        checkpoint: Saved progress, or empty.
+        checkpoint: Last checkpoint, or empty.
     """
 
     number: int
@@ -253,12 +274,13 @@
 
 
 class PoolRule(msgspec.Struct, frozen=True):
-    """A pool of workers, as the operators configured it.
+    """Configuration of a pool of workers.
 
     Attributes:
         name: Name of the pool.
-        guards_room: Whether its workers reject what does not fit.
-        standby: Whether its machines are off.
+        guards_room: Whether its workers reject a start that exceeds their
+            free capacity.
+        standby: Whether its hosts are switched off.
     """
 
     name: str
@@ -267,13 +289,13 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """A whole configuration of the cell.
+    """Configuration of the cell.
 
     Attributes:
-        version: Version; higher versions replace lower ones.
-        queues: Queues by name.
-        pools: Pools by name.
-        max_body_bytes: Largest body of a call.
+        version: Version number; a higher version replaces a lower one.
+        queues: ``QueueRule`` of each queue by its name.
+        pools: ``PoolRule`` of each pool by its name.
+        max_body_bytes: Maximum size of a request body in bytes.
     """
 
     version: int
@@ -283,19 +305,20 @@
 
 
 class HostReport(msgspec.Struct, frozen=True):
-    """What a worker says of itself in the registry.
+    """Entry of a worker in the platform's registry.
 
     Attributes:
         id: Name of the worker.
-        pool: Pool that it belongs to.
-        address: IP number and port.
-        domain: Failure domain.
-        draining: Whether it is about to leave.
-        remaining_ms: Least time until it leaves, while it drains.
-        born_ms: Unix time in milliseconds of the start of this life.
-        capacity: Room that it offers.
+        pool: Name of its pool.
+        address: IP address and port.
+        domain: Name of its failure domain.
+        draining: Whether it is draining.
+        remaining_ms: Minimum number of milliseconds until it leaves, if it
+            is draining.
+        born_ms: Unix time in milliseconds at which its incarnation started.
+        capacity: Total resources that it offers to tasks.
         labels: Its labels; one of them names its rack.
-        sequence: Counter of its reports in this life.
+        sequence: Counter of its reports within the incarnation.
     """
 
     id: str
--- a/packages/cicadafold/src/cicadafold/jobs/runtime_state.py
+++ b/packages/cicadafold/src/cicadafold/jobs/runtime_state.py
@@ -1,4 +1,4 @@
-"""The running state of jobs, steps and tasks."""
+"""Runtime state of jobs, steps and tasks, as a scheduler tracks it."""
 
 from cicadafold.jobs import model
 
@@ -8,17 +8,19 @@
 
 
 class Task:
-    """One task of a step.
+    """Runtime state of a task of a step.
 
     Attributes:
-        step: Step that it belongs to.
-        index: Number within the step.
-        done: Whether a run has ended as done.
-        failed_attempts: Attempts that ended as failed.
-        runs: Runs that may be on a worker now.
-        checkpoint: Newest saved progress, or empty.
-        saved_percent: Progress at the time of the checkpoint.
-        not_before_ms: Monotonic time before which it is not started.
+        step: Step that the task belongs to.
+        index: Number of the task within the step, from 0.
+        name: ``TaskName`` of the task.
+        done: Whether one of its run attempts has ended as done.
+        failed_attempts: Numbers of the run attempts that have failed.
+        runs: Run attempts that may be executing on a worker now.
+        checkpoint: Newest checkpoint, or empty.
+        saved_percent: Highest progress at a checkpoint, from 0 to 100.
+        not_before_ms: Monotonic time in milliseconds before which the task
+            must not be started.
     """
 
     __slots__ = (
@@ -47,36 +49,48 @@
         self.not_before_ms = 0.0
 
     def save_checkpoint(self, checkpoint, percent):
-        """Takes a checkpoint that was made at some progress."""
+        """Keeps a checkpoint as the newest one, unless it is empty or known.
+
+        Args:
+            checkpoint: Checkpoint as reported by the worker, or empty.
+            percent: Progress at the checkpoint, from 0 to 100.
+        """
         if checkpoint and checkpoint != self.checkpoint:
             self.checkpoint = checkpoint
             self.saved_percent = max(self.saved_percent, percent)
 
     @property
     def needs_start(self):
-        """Whether it needs a start and nothing of it runs."""
+        """Whether the task is not done and has no run attempt."""
         return not self.done and not self.runs
 
 
 class Step:
-    """One step of one occurrence of a job.
+    """Runtime state of a step of one occurrence of a job.
+
+    Times are monotonic, in milliseconds.
 
     Attributes:
-        job: Job that it belongs to.
-        occurrence: Number of the occurrence.
-        number: Number of the step.
-        spec: Description of the step.
-        tasks: Its tasks.
-        done_count: Tasks that are done.
-        failed_attempts: Attempts of the gang in which a member failed.
-        tickets: Tickets of the workers that the queue's policy allows.
-        allowed: Workers that the policy allows, None while unknown.
-        asking: Whether a call for advice is on the way.
-        asked_ms: Monotonic time of the last call for advice.
-        held_until_ms: Monotonic time before which a gang is not started.
-        opened_ms: Monotonic time from which its tasks may start, or None.
-        launches: Number of starts in this term, for attempt numbers.
-        avoid: Workers on which a run of it failed.
+        job: Job that the step belongs to.
+        occurrence: Number of the occurrence, from 0.
+        number: Number of the step within the job, from 0.
+        spec: ``StepSpec`` of the step.
+        tasks: Tasks of the step by their index.
+        done_count: Number of tasks that are done.
+        failed_attempts: Numbers of the attempts of the gang in which a
+            member failed.
+        tickets: Placement ticket and the time at which it expires, for each
+            worker that the advice service has allowed.
+        allowed_by_worker: Whether the advice service allows each worker that
+            it was asked about, by worker name; None while not known.
+        advice_pending: Whether a call for advice is in flight.
+        advice_requested_ms: Time of the last call for advice.
+        gang_not_before_ms: Time before which the gang must not be started.
+        ready_ms: Time at which the step was found ready to start, or None.
+        start_count: Number of times in this term that tasks of the step were
+            started; attempt numbers derive from it.
+        avoided_workers: Names of workers on which a run attempt of the step
+            has failed or stalled; others are preferred.
     """
 
     def __init__(self, *, job, occurrence, number):
@@ -104,16 +118,16 @@
         return self.done_count == len(self.tasks)
 
     def mark_done(self, task):
-        """Marks a task as done."""
+        """Marks a task of the step as done."""
         if not task.done:
             task.done = True
             self.done_count += 1
 
     def checkpoint_for(self, task):
-        """Returns the progress from which a task resumes, or empty.
+        """Returns the checkpoint from which a task resumes, or empty.
 
-        All members of a gang resume from the same one, and that of any
-        member is valid for all.
+        All members of a gang must resume from the same checkpoint, and that
+        of any member is valid for all; the most advanced one is returned.
         """
         if not self.spec.gang:
             return task.checkpoint
@@ -121,7 +135,13 @@
         return best.checkpoint
 
     def is_ready(self, now_ms):
-        """Whether its tasks may be started now."""
+        """Whether the step is due and the steps it depends on are done.
+
+        Records the time at which that was first found in ``ready_ms``.
+
+        Args:
+            now_ms: Monotonic time in milliseconds.
+        """
         if self.ready_ms is not None:
             return True
         job = self.job
@@ -134,7 +154,11 @@
         return False
 
     def startable_tasks(self, now_ms):
-        """Returns the tasks that need a start."""
+        """Returns the tasks that may be started now and have no run attempt.
+
+        Args:
+            now_ms: Monotonic time in milliseconds.
+        """
         return [
             task
             for task in self.tasks
@@ -143,19 +167,24 @@
 
 
 class Job:
-    """One accepted job.
+    """Runtime state of an accepted job.
 
     Attributes:
-        spec: Description of the job.
-        rule: Rule of its queue, as last configured.
-        arrived_ms: Monotonic time of its first send, as far as known.
-        wall_offset_ms: Unix time less monotonic time.
-        steps: Lists of steps by occurrence; finished ones are dropped.
+        spec: ``JobSpec`` of the job.
+        rule: Configuration of its queue, as of the newest configuration.
+        arrived_ms: Monotonic time in milliseconds at which the caller first
+            sent the job, as far as known.
+        wall_offset_ms: Unix time minus monotonic time, in milliseconds.
+        steps: Lists of steps by the number of the occurrence, without
+            finished occurrences.
         finished: Numbers of the occurrences whose steps are all done.
-        state: State now.
-        shown: State that callers are told; final ones are recorded first.
-        started: Whether any task has been started.
-        inherited: Whether an earlier scheduler may have started tasks.
+        state: Current state.
+        reported_state: State that callers are told; a final state is first
+            made durable in the journal.
+        started: Whether any task of the job has been started.
+        inherited: Whether a scheduler of an earlier term may have started
+            tasks of the job.
+        objective: Latency objective in milliseconds, or None until set.
     """
 
     def __init__(self, *, spec, arrived_ms, wall_offset_ms):
@@ -172,14 +201,14 @@
         self.objective = None
 
     def due_ms(self, occurrence):
-        """Returns the monotonic time at which an occurrence is due."""
+        """Returns the monotonic time in ms at which an occurrence is due."""
         if self.spec.repeats <= 0:
             return self.arrived_ms
         due = self.spec.first_due_ms + occurrence * self.spec.interval_ms
         return due - self.wall_offset_ms
 
     def create_due_occurrences(self, now_ms):
-        """Creates the steps of the occurrences that are due."""
+        """Creates the steps of all unfinished occurrences that are due."""
         for number in range(self.spec.occurrences):
             if number in self.steps or number in self.finished:
                 continue
@@ -188,7 +217,7 @@
             self.steps_of(number)
 
     def steps_of(self, number):
-        """Returns the steps of an occurrence, created when needed."""
+        """Returns the steps of an occurrence, which it creates if missing."""
         steps = self.steps.get(number)
         if steps is None:
             steps = self.steps[number] = []
@@ -197,7 +226,11 @@
         return steps
 
     def find_task(self, name):
-        """Returns the task of a name, None if there is none."""
+        """Returns the task of a name, or None if the job has no such task.
+
+        Tasks of finished occurrences, and of occurrences that were not
+        created before the job ended, count as missing.
+        """
         if name.occurrence in self.finished:
             return None
         if self.state.final and name.occurrence not in self.steps:
@@ -210,22 +243,22 @@
         return tasks[name.index] if name.index < len(tasks) else None
 
     def finish_occurrence(self, number):
-        """Drops the steps of an occurrence that is done."""
+        """Marks an occurrence as finished and discards its steps."""
         self.finished.add(number)
         self.steps.pop(number, None)
 
     @property
     def active(self):
-        """Whether tasks may still be started."""
+        """Whether tasks of the job may still be started."""
         return not self.state.final
 
     @property
     def all_done(self):
-        """Whether all occurrences are done."""
+        """Whether all occurrences are finished."""
         return len(self.finished) == self.spec.occurrences
 
     def runs(self):
-        """Returns all runs that may be on a worker."""
+        """Returns all run attempts that may be executing on a worker."""
         return [
             run
             for steps in self.steps.values()
--- a/packages/cicadafold/src/cicadafold/journal/__init__.py
+++ b/packages/cicadafold/src/cicadafold/journal/__init__.py
@@ -1,1 +1,1 @@
-"""The durable record of jobs, kept on the platform's store."""
+"""Journal of jobs: durable records in the platform's store."""
--- a/packages/cicadafold/src/cicadafold/journal/accept_writer.py
+++ b/packages/cicadafold/src/cicadafold/journal/accept_writer.py
@@ -1,4 +1,4 @@
-"""Group commit of acceptances and cancellings by an entry host."""
+"""Group commit of accepted and cancelled jobs by an entry host."""
 
 import asyncio
 
@@ -8,24 +8,28 @@
 
 __all__ = ["AcceptWriter"]
 
-# Partitions of the jobs topic that are written; one that does not answer
-# is left for the next, so that a partial outage stops no acceptance.
+# Number of partitions of the jobs topic. After a failed append the writer
+# switches to the next one, so that it can accept jobs in a partial outage.
 PARTITIONS = 4
 MAX_BATCH_BYTES = 1_000_000
 RETRY_PAUSE_S = 0.05
-# Other entry hosts may reach the store; the next try may find one.
+# Sent to callers, whose next attempt may get to an entry host that reaches
+# the store.
 RETRY_AFTER_MS = 1000
 
 LOG = logs.get_logger("accept")
 
 
 class PendingRecord:
-    """A record that waits until it is durable.
+    """A record that is not known to be durable yet.
 
     Attributes:
-        entry: Key and value.
-        deadline_s: Loop time at which the caller stops waiting.
-        doubtful: Whether an append without an answer has held it.
+        entry: Key and value of the record.
+        deadline_s: Event loop time in seconds at which the caller stops
+            waiting.
+        future: Completes when the record is durable or is given up.
+        unconfirmed: Whether an append that contained the record was sent and
+            got no answer, so that the record may be stored.
     """
 
     def __init__(self, *, entry, deadline_s, future):
@@ -36,15 +40,23 @@
 
 
 class AcceptWriter:
-    """Appends records of jobs, many in one call.
+    """Appends job records to the store in batches.
 
-    Records are the same whenever they are repeated, so that an append
-    without an answer can be repeated in any partition.
+    Records are idempotent: an append that got no answer is repeated, in any
+    partition.
 
     Args:
         store: Client of the store.
-        first_partition: Partition that this host prefers.
-        metrics: Where appends are counted.
+        first_partition: Number from which the first partition to use is
+            derived, so that entry hosts spread over the partitions.
+        metrics: Metrics registry.
+
+    Attributes:
+        partition: Partition that is used now.
+        queue: Records that are in no batch yet.
+        batch_requested: Set while ``queue`` holds records.
+        failing_since_s: Event loop time in seconds of the first failure
+            since the last successful append, or None.
     """
 
     def __init__(self, *, store, first_partition, metrics):
@@ -56,19 +68,20 @@
         self.failing_since_s = None
 
     async def write(self, key, value, *, deadline_s):
-        """Waits until a record is durable.
+        """Queues a record and waits until it is durable.
 
         Args:
             key: Key of the record.
-            value: Value, which is the same at each repetition.
-            deadline_s: Loop time at which to give up.
+            value: Value, which must be the same if the record is repeated.
+            deadline_s: Event loop time in seconds at which to give up.
 
         Raises:
-            LogUnavailable: The record is not in the log and never will be.
-            OutcomeUnknown: The record may be in the log.
+            LogUnavailable: The record is not in the journal and never will
+                be.
+            OutcomeUnknown: The record may be in the journal.
         """
         if not self.store.reachable:
-            raise store_unreachable()
+            raise store_unavailable()
         pending = PendingRecord(
             entry=(key, value),
             deadline_s=deadline_s,
@@ -79,10 +92,10 @@
         await pending.future
 
     async def run(self):
-        """Appends what is waiting, one batch after the other.
+        """Appends the queued records, one batch at a time.
 
-        One append at a time: a slow store takes few of them, each with all
-        that has come in between.
+        With a single append in flight, the records that arrive during a slow
+        append gather in the next batch, so a slow store gets fewer appends.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -94,7 +107,7 @@
                     await asyncio.sleep(RETRY_PAUSE_S)
 
     def next_batch(self):
-        """Takes waiting records up to the largest batch."""
+        """Removes the next batch from the queue and returns it."""
         size = 0
         count = 0
         for pending in self.queue:
@@ -109,7 +122,16 @@
         return batch
 
     async def append(self, batch, loop):
-        """Appends a batch and returns the records to try again."""
+        """Appends a batch and completes the futures of its records.
+
+        Args:
+            batch: Records to append.
+            loop: Running event loop.
+
+        Returns:
+            The records that were not confirmed and are to be tried again;
+            empty after a successful append.
+        """
         batch = self.fail_expired(batch, loop.time())
         if not batch:
             return []
@@ -137,19 +159,29 @@
         return []
 
     def report_recovery(self, loop):
-        """Notes that the store takes records again."""
+        """Logs the recovery of the store after failed appends."""
         if self.failing_since_s is None:
             return
         lost_s = loop.time() - self.failing_since_s
         self.failing_since_s = None
-        LOG.info("The store takes records again.", fields={"lost_s": lost_s})
+        LOG.info(
+            "The store accepts appends of job records again.",
+            fields={"lost_s": lost_s},
+        )
 
     def switch_partition(self, partition, loop, error):
-        """Goes on with the next partition after a failure."""
+        """Switches to the next partition after a failed append.
+
+        Args:
+            partition: Partition of the failed append.
+            loop: Running event loop.
+            error: Cause, logged if it is the first since a success.
+        """
         if self.failing_since_s is None:
             self.failing_since_s = loop.time()
             LOG.warning(
-                "An append failed: %s",
+                "An append of job records failed and is retried in the next "
+                "partition until the callers' deadlines: %s",
                 error,
                 fields={"partition": partition},
             )
@@ -157,31 +189,41 @@
             self.partition = (partition + 1) % PARTITIONS
 
     def fail_expired(self, batch, now_s):
-        """Answers the records whose callers stop waiting."""
-        kept = []
-        # A store out of reach is not waited for: another host may reach
-        # it, and the caller can be there within its own deadline.
+        """Fails the records that cannot be appended in time.
+
+        Args:
+            batch: Records to check.
+            now_s: Event loop time in seconds.
+
+        Returns:
+            The records that are still to be appended.
+        """
+        remaining = []
+        # Records fail at once while the store is unreachable: another entry
+        # host may reach it, and the caller can still retry there within its
+        # deadline.
         for pending in batch:
             if pending.future.done():
                 continue
             if now_s < pending.deadline_s and self.store.reachable:
-                kept.append(pending)
+                remaining.append(pending)
             elif pending.unconfirmed:
                 pending.future.set_exception(
                     exception.OutcomeUnknown(
-                        message="The store did not confirm the record.",
+                        message="The store did not confirm the record in "
+                        "time.",
                         remedy="Send the request again with the same ID.",
                     )
                 )
             else:
-                pending.future.set_exception(store_unreachable())
-        return kept
+                pending.future.set_exception(store_unavailable())
+        return remaining
 
 
-def store_unreachable():
-    """Returns the error of a record that was not sent to the store."""
+def store_unavailable():
+    """Returns the error for a record that is certainly not stored."""
     return exception.LogUnavailable(
-        message="The store takes no records.",
+        message="The store cannot be used to record the job now.",
         remedy="Send the request again later.",
         retry_after_ms=RETRY_AFTER_MS,
     )
--- a/packages/cicadafold/src/cicadafold/journal/progress_writer.py
+++ b/packages/cicadafold/src/cicadafold/journal/progress_writer.py
@@ -1,4 +1,4 @@
-"""Fenced group commit of the progress of jobs by the scheduler."""
+"""Fenced group commit of job progress by the scheduler."""
 
 import asyncio
 
@@ -8,22 +8,28 @@
 
 __all__ = ["PARTITIONS", "ProgressWriter", "fence_partitions"]
 
-# A new scheduler has to read all of them, so they are few.
+# Few, since a new scheduler has to read all of them.
 PARTITIONS = 2
 WRITER = "scheduler"
-# Collects the ends of a moment into one append; each append is paid for.
+# Gathers the changes of a short time in one append, as each append has a cost.
 BATCH_DELAY_S = 0.02
 RETRY_PAUSE_S = 0.05
-MAX_BATCH_JOBS = 400
+MAX_ENTRIES_PER_APPEND = 400
 
 LOG = logs.get_logger("progress")
 
 
 async def fence_partitions(store, term):
-    """Keeps writers of earlier terms from the progress of jobs.
+    """Fences off progress writers of earlier terms in all partitions.
+
+    Retries until the store answers.
+
+    Args:
+        store: Client of the store.
+        term: Term of this scheduler, used as the writer's epoch.
 
     Raises:
-        LogFenced: A later term has begun.
+        LogFenced: A later term has fenced a partition.
     """
     for partition in range(PARTITIONS):
         await retry_until_answered(
@@ -34,23 +40,32 @@
 
 
 async def retry_until_answered(call):
-    """Repeats a call until it has an answer."""
+    """Calls a coroutine function until the store answers it.
+
+    An answer that the sequence number is not the expected one counts, as the
+    fence is then in place.
+
+    Returns:
+        The result of the call, or None after such an answer.
+    """
     while True:
         try:
             return await call()
         except exception.LogOutOfSequence:
             return None
         except (exception.LogUnavailable, exception.LinkLost) as error:
-            LOG.warning("The store is needed and fails: %s", error)
+            LOG.warning(
+                "Fencing a journal partition failed and is retried: %s", error
+            )
             await asyncio.sleep(RETRY_PAUSE_S)
 
 
 class PartitionState:
-    """One partition as this writer sees it.
+    """State of the writer in one partition.
 
     Attributes:
-        sequence: Number of the last append that was tried.
-        doubtful: Records of an append without an answer, or None.
+        sequence: Sequence number of the last append that was tried.
+        unconfirmed: Entries of that append if it is not confirmed, or None.
     """
 
     def __init__(self):
@@ -59,19 +74,32 @@
 
 
 class ProgressWriter:
-    """Records the progress of changed jobs in batches.
+    """Appends the progress of changed jobs to the journal in batches.
 
-    An append without an answer is repeated as it was, under its sequence
-    number, before its partition is used again: the store then executes it
-    once, however late. Meanwhile the next partition is used; the reader
-    takes the highest version of a job.
+    An append that got no answer is repeated unchanged and with the same
+    sequence number before its partition is used for another one, so that the
+    store executes it exactly once, however late. Until then the next
+    partition is used. Readers keep the record of each job with the highest
+    term and version.
 
     Args:
         store: Client of the store.
         term: Term of this scheduler.
-        metrics: Where appends are counted.
-        on_durable: Function called with the jobs of each durable batch,
-            each with the state that was recorded.
+        metrics: Metrics registry.
+        on_durable: Function called after each durable batch with a list of
+            its jobs, each with the state that was recorded.
+
+    Attributes:
+        version: Version of the last record of this term.
+        changed: Jobs to record in the next batch, by identifier.
+        removed: Identifiers of jobs whose progress the next batch deletes.
+        workers: ``KnownWorkers`` to record in the next batch, or None.
+        batch: Number of the batch written last or being written.
+        durable_batch: Number of the last durable batch.
+        batch_requested: Set while there is something to write.
+        batch_written: Pulsed after each durable batch, to wake its waiters.
+        partitions: ``PartitionState`` of each partition.
+        current_partition: Number of the partition that is used now.
     """
 
     def __init__(self, *, store, term, metrics, on_durable):
@@ -91,20 +119,27 @@
         self.current_partition = 0
 
     def record_job(self, job):
-        """Notes that a job has changed.
+        """Requests that the progress of a job be recorded.
+
+        Args:
+            job: Job that has changed.
 
         Returns:
-            Number of the batch that will hold the change.
+            Number of the batch that will contain the change.
         """
         self.changed[job.spec.id] = job
         self.batch_requested.set()
         return self.batch + 1
 
     def record_workers(self, workers):
-        """Records the workers on which tasks may be started.
+        """Requests that the workers of this term be recorded.
+
+        Args:
+            workers: ``KnownWorker`` of each worker on which this term may
+                start tasks, or on which tasks may still run.
 
         Returns:
-            Number of the batch that will hold the record.
+            Number of the batch that will contain the record.
         """
         self.version += 1
         self.workers = records.KnownWorkers(self.term, self.version, workers)
@@ -112,15 +147,19 @@
         return self.batch + 1
 
     def record_removal(self, job):
-        """Forgets the progress of a job."""
+        """Requests that the progress record of a job be deleted.
+
+        Args:
+            job: Identifier of the job.
+        """
         self.removed.append(job)
         self.batch_requested.set()
 
     async def run(self):
-        """Records changes until a later term begins.
+        """Writes the requested batches until a later term starts.
 
         Raises:
-            LogFenced: A later term has begun.
+            LogFenced: A later term has fenced the journal.
         """
         while True:
             await self.batch_requested.wait()
@@ -129,7 +168,7 @@
             jobs = list(self.changed.values())
             self.changed.clear()
             self.batch += 1
-            # A job may change while its record is on the way.
+            # A job may change again while its record is being written.
             states = [(job, job.state) for job in jobs]
             await self.write_batch(jobs)
             self.durable_batch = self.batch
@@ -138,43 +177,66 @@
             self.batch_written.clear()
 
     async def write_batch(self, jobs):
-        """Records a batch of jobs, in as many appends as it needs."""
-        made = []
+        """Writes the records of a batch, in as many appends as it needs.
+
+        Args:
+            jobs: Changed jobs.
+        """
+        entries = []
         for job in jobs:
             self.version += 1
             progress = records.progress_record(
                 job, term=self.term, version=self.version
             )
-            made.append((job.spec.id, records.encode(progress)))
+            entries.append((job.spec.id, records.encode(progress)))
         if self.workers is not None:
             entry = records.encode(self.workers)
-            made.append((records.WORKERS_KEY, entry))
+            entries.append((records.WORKERS_KEY, entry))
             self.workers = None
-        made.extend((name, b"") for name in self.removed)
+        entries.extend((name, b"") for name in self.removed)
         self.removed.clear()
-        for start in range(0, len(made), MAX_BATCH_JOBS):
-            await self.append(made[start : start + MAX_BATCH_JOBS])
+        for start in range(0, len(entries), MAX_ENTRIES_PER_APPEND):
+            await self.append(entries[start : start + MAX_ENTRIES_PER_APPEND])
 
-    async def append(self, made):
-        """Appends records to the first partition that takes them."""
+    async def append(self, entries):
+        """Appends entries to the first partition that confirms them.
+
+        Args:
+            entries: Pairs of key and value.
+        """
         while True:
             partition = self.partitions[self.current_partition]
             try:
                 if partition.unconfirmed is not None:
                     await self.send_unconfirmed(partition)
                 partition.sequence += 1
-                partition.unconfirmed = made
+                partition.unconfirmed = entries
                 await self.send_unconfirmed(partition)
                 return
             except exception.LogUnavailable as error:
-                LOG.warning("Progress was not taken: %s", error)
+                LOG.warning(
+                    "The store did not accept an append of job progress, "
+                    "which is retried in the next partition: %s",
+                    error,
+                )
             except exception.LinkLost as error:
-                LOG.warning("Progress is in doubt: %s", error)
+                LOG.warning(
+                    "The store did not confirm an append of job progress, "
+                    "which is retried in the next partition: %s",
+                    error,
+                )
             self.current_partition = (self.current_partition + 1) % PARTITIONS
             await asyncio.sleep(RETRY_PAUSE_S)
 
     async def send_unconfirmed(self, partition):
-        """Sends the lane's newest append until it is answered."""
+        """Sends the unconfirmed append of a partition once.
+
+        Raises:
+            LogUnavailable: The store did not execute it, or the sequence of
+                the partition had to be reset.
+            LinkLost: The store did not confirm it.
+            LogFenced: A later term has fenced the partition.
+        """
         writer = (WRITER, self.term, partition.sequence)
         try:
             await self.store.append(
@@ -188,7 +250,7 @@
                 partition.sequence = error.expected - 1
                 partition.unconfirmed = None
                 raise exception.LogUnavailable(
-                    message="The sequence was reset.",
-                    remedy="The append is repeated.",
+                    message="The store expected an earlier sequence number.",
+                    remedy="The append is repeated in another partition.",
                 ) from error
         partition.unconfirmed = None
--- a/packages/cicadafold/src/cicadafold/journal/reader.py
+++ b/packages/cicadafold/src/cicadafold/journal/reader.py
@@ -1,4 +1,4 @@
-"""Reads the record of all jobs when a scheduler begins its term."""
+"""Reads the journal at the start of a term, and then follows new jobs."""
 
 import asyncio
 
@@ -13,23 +13,25 @@
 __all__ = ["JobsTail", "JournalState", "read_journal"]
 
 RETRY_PAUSE_S = 0.1
-# Hosts tell the scheduler what they accept; the tail finds what got lost on
-# the way. Each read is paid for.
+# Entry hosts notify the scheduler of the jobs that they accept; the tail finds
+# those whose notification was lost. Each read has a cost.
 TAIL_PAUSE_S = 0.35
 
 LOG = logs.get_logger("journal")
 
 
 class JournalState(msgspec.Struct):
-    """What the journal holds of all jobs.
+    """Content of the journal, as far as it was read.
 
     Attributes:
-        specs: Accepted jobs by identifier.
+        specs: ``JobSpec`` of each accepted job by its identifier.
         cancelled: Identifiers of cancelled jobs.
-        progress: Newest progress by identifier.
-        offsets: Where the tail of each partition goes on.
-        homes: Partitions in which records of a job lie.
-        workers: Workers that the newest recorded term knew, or None.
+        progress: Newest ``JobProgress`` of each job by its identifier.
+        offsets: Offset of the next record to read, by partition of the jobs
+            topic.
+        partitions: Set of the partitions of the jobs topic that hold records
+            of a job, by its identifier.
+        workers: Newest record of the workers, or None.
     """
 
     specs: dict
@@ -40,10 +42,16 @@
     workers: records.KnownWorkers | None = None
 
     def apply(self, partition, key, value):
-        """Takes a record of the jobs topic.
+        """Applies a record of the jobs topic.
+
+        Args:
+            partition: Partition that holds the record.
+            key: Key of the record.
+            value: Value of the record; empty if it deletes the key.
 
         Returns:
-            The job's identifier if it is new to this state, else None.
+            Identifier of the job if it is newly accepted or newly cancelled,
+            else None.
         """
         cancelling, job = records.parse_key(key)
         if not value:
@@ -60,7 +68,8 @@
             self.specs[job] = records.decode_spec(value)
         except msgspec.MsgspecError as error:
             LOG.warning(
-                "A job's record is damaged: %s",
+                "The record of an accepted job cannot be decoded and is "
+                "skipped: %s",
                 error,
                 fields={"request_id": job, "partition": partition},
             )
@@ -68,7 +77,7 @@
         return job
 
     def remove_job(self, job):
-        """Forgets an ended job."""
+        """Removes all that is known of a job that has ended."""
         self.specs.pop(job, None)
         self.cancelled.discard(job)
         self.progress.pop(job, None)
@@ -76,7 +85,14 @@
 
 
 async def read_journal(store):
-    """Reads all partitions to their ends."""
+    """Reads all partitions of the journal to their ends.
+
+    Args:
+        store: Client of the store.
+
+    Returns:
+        The ``JournalState``.
+    """
     state = JournalState({}, set(), {}, {}, {})
     async with asyncio.TaskGroup() as group:
         for partition in range(accept_writer.PARTITIONS):
@@ -87,13 +103,17 @@
 
 
 async def read_newest(store, topic, partition):
-    """Reads the newest records, again until the store answers."""
+    """Reads the newest record of each key, until the store answers.
+
+    Returns:
+        The records, and the offset from which a tail continues.
+    """
     while True:
         try:
             return await store.newest(topic, partition)
         except (exception.LogUnavailable, exception.LinkLost) as error:
             LOG.warning(
-                "The journal cannot be read yet: %s",
+                "A journal partition cannot be read and is retried: %s",
                 error,
                 fields={"topic": topic, "partition": partition},
             )
@@ -101,7 +121,7 @@
 
 
 async def read_jobs(store, partition, state):
-    """Reads one partition of accepted and cancelled jobs."""
+    """Reads a partition of the jobs topic into a journal state."""
     found, resume = await read_newest(store, records.JOBS_TOPIC, partition)
     for record in found:
         state.apply(partition, record.key, record.value)
@@ -109,7 +129,11 @@
 
 
 async def read_progress(store, partition, state):
-    """Reads one partition of progress; the highest version holds."""
+    """Reads a partition of the progress topic into a journal state.
+
+    Of the records of a job, in any partition, the one with the highest term
+    and version is kept.
+    """
     topic = records.PROGRESS_TOPIC
     found, _ = await read_newest(store, topic, partition)
     for record in found:
@@ -122,43 +146,55 @@
             progress = records.decode_progress(record.value)
         except msgspec.MsgspecError as error:
             LOG.warning(
-                "A job's progress is damaged: %s",
+                "The progress record of a job cannot be decoded and is "
+                "skipped: %s",
                 error,
                 fields={"request_id": record.key},
             )
             continue
         known = state.progress.get(record.key)
-        mine = (progress.term, progress.version)
-        if known is None or (known.term, known.version) < mine:
+        version = (progress.term, progress.version)
+        if known is None or (known.term, known.version) < version:
             state.progress[record.key] = progress
 
 
 def apply_workers(state, value):
-    """Takes the record of the known workers if it is the newest."""
+    """Applies a record of the workers if it is the newest one.
+
+    Args:
+        state: Journal state to update.
+        value: Encoded ``KnownWorkers``.
+    """
     try:
         found = records.decode_workers(value)
     except msgspec.MsgspecError as error:
-        LOG.warning("The record of the workers is damaged: %s", error)
+        LOG.warning(
+            "The record of the workers cannot be decoded and is skipped: %s",
+            error,
+        )
         return
     known = state.workers
-    age = (found.term, found.version)
-    if known is None or (known.term, known.version) < age:
+    version = (found.term, found.version)
+    if known is None or (known.term, known.version) < version:
         state.workers = found
 
 
 class JobsTail:
-    """Follows one partition of accepted and cancelled jobs.
+    """Follows a partition of the jobs topic.
 
     Args:
         store: Client of the store.
         partition: Number of the partition.
-        state: Journal state, which takes the records.
-        on_job: Function called with the identifier of each changed job.
+        state: ``JournalState`` to which new records are applied.
+        on_job: Function called with the identifier of each job that is new
+            or newly cancelled.
 
     Attributes:
-        read_at_s: Loop time of the last answer.
-        whole_from_s: Loop time at which the last read began that came to
-            the end of the partition.
+        read_at_s: Event loop time in seconds of the last successful read.
+        complete_until_s: Event loop time in seconds at which the last read
+            started that reached the end of the partition; all records that
+            the partition held by then have been applied.
+        failing: Whether the last read failed.
     """
 
     def __init__(self, *, store, partition, state, on_job):
@@ -171,7 +207,7 @@
         self.failing = False
 
     async def run(self):
-        """Reads new records for as long as the term lasts."""
+        """Reads and applies new records until cancelled."""
         while True:
             try:
                 await self.read_once()
@@ -184,26 +220,31 @@
                 await asyncio.sleep(RETRY_PAUSE_S)
 
     def track_read_error(self, error):
-        """Logs that the partition was lost or regained."""
+        """Logs when reads start to fail and when they succeed again.
+
+        Args:
+            error: Error of the last read, or None if it succeeded.
+        """
         if (error is not None) == self.failing:
             return
         self.failing = error is not None
         if self.failing:
             LOG.warning(
-                "New jobs cannot be read: %s",
+                "New jobs of a journal partition cannot be read and are "
+                "retried: %s",
                 error,
                 fields={"partition": self.partition},
             )
         else:
             LOG.info(
-                "New jobs are read again.",
+                "New jobs of a journal partition can be read again.",
                 fields={"partition": self.partition},
             )
 
     async def read_once(self):
-        """Reads what has come since the last read."""
+        """Reads and applies the records appended since the last read."""
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
+        started_s = loop.time()
         page = await self.store.read(
             records.JOBS_TOPIC,
             self.partition,
@@ -214,12 +255,16 @@
         for key, value in page.entries:
             self.apply(key, value)
         if self.state.offsets[self.partition] >= page.end:
-            self.complete_until_s = begun_s
+            self.complete_until_s = started_s
 
     async def reload(self):
-        """Reads the newest records after the history was deleted."""
+        """Reads the newest record of each key instead of the next records.
+
+        Needed when the store has deleted records before they were read.
+        """
         LOG.warning(
-            "The history of new jobs is gone; their newest records are read.",
+            "Unread records of new jobs were deleted by the store; the "
+            "newest record of each key is read instead.",
             fields={"partition": self.partition},
         )
         found, resume = await read_newest(
@@ -230,7 +275,7 @@
         self.state.offsets[self.partition] = resume
 
     def apply(self, key, value):
-        """Hands on the job of a new record."""
+        """Applies a record and reports its job if that has changed."""
         job = self.state.apply(self.partition, key, value)
         if job is not None:
             self.on_job(job)
--- a/packages/cicadafold/src/cicadafold/journal/records.py
+++ b/packages/cicadafold/src/cicadafold/journal/records.py
@@ -1,4 +1,4 @@
-"""Records of jobs: acceptance, cancelling and progress."""
+"""Journal records: accepted and cancelled jobs, progress and workers."""
 
 import msgspec
 
@@ -27,7 +27,8 @@
 ACCEPT_PREFIX = "a/"
 CANCEL_PREFIX = "x/"
 PREFIX_SIZE = 2
-# Key of the workers in the progress topic; no job has such an identifier.
+# Key of the ``KnownWorkers`` record in the progress topic; no job can have
+# this identifier.
 WORKERS_KEY = "workers"
 
 encode = msgspec.msgpack.Encoder().encode
@@ -35,18 +36,21 @@
 
 
 class JobProgress(msgspec.Struct, array_like=True):
-    """What has come of a job, in full.
+    """Progress of a job: a full snapshot, which replaces earlier records.
 
     Attributes:
         term: Term of the scheduler that wrote the record.
-        version: Counter within the term.
-        state: Final state, or the state at the time.
-        finished: Occurrences that are done.
-        done: Occurrence, step and a bit for each done task, in hex.
-        failures: Occurrence, step, index and failed attempts; the index
-            is -1 for a gang. Attempts are kept rather than counted, since
-            an end may be reported again to the next scheduler.
-        saved: Occurrence, step, index, checkpoint and its progress.
+        version: Counter of the records of the term.
+        state: Value of the ``JobState`` when the record was written.
+        finished: Numbers of the finished occurrences.
+        done: Tuples of occurrence, step and a bit mask in hexadecimal, whose
+            bit ``i`` is set if task ``i`` is done.
+        failures: Tuples of occurrence, step, index of the task and the
+            numbers of its failed attempts; the index is -1 for a gang. The
+            numbers are kept rather than their count, since a worker may
+            report the same end again to the next scheduler.
+        checkpoints: Tuples of occurrence, step, index of the task, its newest
+            checkpoint and the progress at that checkpoint.
     """
 
     term: int
@@ -62,12 +66,13 @@
 
 
 class KnownWorker(msgspec.Struct, array_like=True):
-    """A worker on which a term may have started tasks.
+    """A worker on which tasks of a term may run.
 
     Attributes:
-        report: Its newest report.
-        tasks: Tasks that may run on it if it is silent, and so gets no new
-            ones; None if it answers, or if its tasks are not known.
+        report: Newest report of the worker.
+        tasks: Names of the tasks that may run on it, if it does not answer
+            and so gets no new ones; None if it answers, or if its tasks are
+            not known.
     """
 
     report: model.HostReport
@@ -75,12 +80,12 @@
 
 
 class KnownWorkers(msgspec.Struct, array_like=True):
-    """Workers on which a term may have started tasks.
+    """All workers on which tasks of a term may run.
 
     Attributes:
         term: Term of the scheduler that wrote the record.
-        version: Counter within the term.
-        workers: The workers.
+        version: Counter of the records of the term.
+        workers: A ``KnownWorker`` for each of them.
     """
 
     term: int
@@ -92,17 +97,17 @@
 
 
 def accept_record(spec):
-    """Returns key and value of an acceptance."""
+    """Returns key and value of the record of an accepted job."""
     return ACCEPT_PREFIX + spec.id, encode(spec)
 
 
 def cancel_record(job):
-    """Returns key and value of a cancelling."""
+    """Returns key and value of the record that a job is cancelled."""
     return CANCEL_PREFIX + job, b"1"
 
 
 def job_keys(job):
-    """Returns the keys that are dropped when a job is forgotten."""
+    """Returns all keys that a job may have in the jobs topic."""
     return [ACCEPT_PREFIX + job, CANCEL_PREFIX + job]
 
 
@@ -110,7 +115,7 @@
     """Splits a key of the jobs topic.
 
     Returns:
-        Whether it is a cancelling, and the job's identifier.
+        Whether the record cancels the job, and the job's identifier.
 
     Examples:
         >>> parse_key("x/ab")
@@ -120,7 +125,13 @@
 
 
 def progress_record(job, *, term, version):
-    """Returns the progress of a job as a record."""
+    """Returns the progress of a job as a record.
+
+    Args:
+        job: Job with its runtime state.
+        term: Term of this scheduler.
+        version: Version of the record within the term.
+    """
     progress = JobProgress(
         term, version, job.state.value, sorted(job.finished)
     )
@@ -133,19 +144,19 @@
 
 
 def add_step_progress(progress, occurrence, step):
-    """Adds what is known of a step to a record."""
+    """Adds the tasks of a step to a progress record."""
     bits = 0
     for task in step.tasks:
-        where = (occurrence, step.number, task.index)
+        position = (occurrence, step.number, task.index)
         if task.done:
             bits |= 1 << task.index
             continue
         if task.failed_attempts:
             failed = sorted(task.failed_attempts)
-            progress.failures.append((*where, failed))
+            progress.failures.append((*position, failed))
         if task.checkpoint:
             progress.checkpoints.append(
-                (*where, task.checkpoint, task.saved_percent)
+                (*position, task.checkpoint, task.saved_percent)
             )
     if bits:
         progress.done.append((occurrence, step.number, f"{bits:x}"))
@@ -155,7 +166,12 @@
 
 
 def apply_progress(job, progress):
-    """Sets a job to what a record says of it."""
+    """Restores the runtime state of a job from its progress record.
+
+    Args:
+        job: Job as it is created from its specification.
+        progress: ``JobProgress`` of the job.
+    """
     job.state = job.reported_state = model.JobState(progress.state)
     job.finished = set(progress.finished)
     for number in job.finished:
@@ -170,8 +186,8 @@
                 step.mark_done(task)
     for occurrence, number, index, failed in progress.failures:
         step = job.steps_of(occurrence)[number]
-        counted = step if index < 0 else step.tasks[index]
-        counted.failed_attempts = set(failed)
+        failing = step if index < 0 else step.tasks[index]
+        failing.failed_attempts = set(failed)
     for occurrence, number, index, checkpoint, percent in progress.checkpoints:
         task = job.steps_of(occurrence)[number].tasks[index]
         task.save_checkpoint(checkpoint, percent)
--- a/packages/cicadafold/src/cicadafold/journal/tests/test_writers.py
+++ b/packages/cicadafold/src/cicadafold/journal/tests/test_writers.py
@@ -1,4 +1,4 @@
-"""Tests of the writers of acceptances and of progress."""
+"""Tests of ``AcceptWriter``, ``ProgressWriter`` and their records."""
 
 import asyncio
 
@@ -13,18 +13,23 @@
 from cicadafold.telemetry import metrics
 
 
-def lost():
-    """Returns the error of a lost answer."""
+def lost_answer():
+    """Returns the error of an append whose answer is lost."""
     return exception.LinkLost(message="Lost.", remedy="")
 
 
-def refused():
-    """Returns the error of a refused call."""
+def refusal():
+    """Returns the error of an append that the store refuses."""
     return exception.LogUnavailable(message="Refused.", remedy="")
 
 
 class FakeStore:
-    """A store whose appends fail as a list says."""
+    """A store that records appends and raises given errors.
+
+    Args:
+        failures: Error of each append in turn, None for one that succeeds;
+            appends after the last one succeed.
+    """
 
     def __init__(self, failures=()):
         self.failures = list(failures)
@@ -42,7 +47,7 @@
         writer=None,
         timeout_s=None,
     ):
-        """Records the append, then fails or not."""
+        """Records the append, and raises the next error if there is one."""
         self.appends.append((partition, list(entries), writer))
         failure = self.failures.pop(0) if self.failures else None
         if failure is not None:
@@ -50,14 +55,14 @@
 
 
 def rule(**fields):
-    """Returns a queue."""
+    """Returns the configuration of a queue, changed by given fields."""
     known = {"name": "q", "authority": "h", "prefix": "/", "pool": "p"}
     return model.QueueRule(**(known | fields))
 
 
 @pytest.fixture
 def job():
-    """A job of two steps."""
+    """A job of two steps, the second of which is a gang."""
     spec = model.JobSpec(
         id="ab",
         rule=rule(),
@@ -67,13 +72,13 @@
             model.StepSpec(tasks=2, after=(0,), gang=True),
         ),
     )
-    made = runtime_state.Job(spec=spec, arrived_ms=0.0, wall_offset_ms=0.0)
-    made.steps_of(0)
-    return made
+    created = runtime_state.Job(spec=spec, arrived_ms=0.0, wall_offset_ms=0.0)
+    created.steps_of(0)
+    return created
 
 
-async def written(store, deadline_s=1.0):
-    """Writes one record and returns what came of it."""
+async def write_record(store, deadline_s=1.0):
+    """Writes a record with an ``AcceptWriter`` and raises its error."""
     writer = accept_writer.AcceptWriter(
         store=store, first_partition=0, metrics=metrics.Metrics()
     )
@@ -85,42 +90,42 @@
         running.cancel()
 
 
-def test_record_moves_to_the_next_partition_after_a_failure():
-    """A failed append is repeated in another partition."""
-    store = FakeStore([refused(), lost()])
-    asyncio.run(written(store))
+def test_append_is_repeated_in_the_next_partition():
+    """Both a refusal and a lost answer switch the partition."""
+    store = FakeStore([refusal(), lost_answer()])
+    asyncio.run(write_record(store))
     assert [partition for partition, _, _ in store.appends] == [0, 1, 2]
 
 
-def test_record_that_may_be_stored_is_not_called_refused():
-    """A lost answer makes the outcome unknown, never refused."""
-    store = FakeStore([lost()] + [refused()] * 1000)
+def test_outcome_is_unknown_after_a_lost_answer():
+    """Refusals after a lost answer do not prove the record not stored."""
+    store = FakeStore([lost_answer()] + [refusal()] * 1000)
     with pytest.raises(exception.OutcomeUnknown):
-        asyncio.run(written(store, deadline_s=0.2))
+        asyncio.run(write_record(store, deadline_s=0.2))
 
 
-def test_record_that_was_refused_is_not_stored():
-    """Refusals alone mean that the record is not in the log."""
-    store = FakeStore([refused()] * 1000)
+def test_refused_record_is_reported_as_not_stored():
+    """If all appends were refused, the record is not in the journal."""
+    store = FakeStore([refusal()] * 1000)
     with pytest.raises(exception.LogUnavailable):
-        asyncio.run(written(store, deadline_s=0.2))
+        asyncio.run(write_record(store, deadline_s=0.2))
 
 
-def test_store_out_of_reach_is_not_waited_for():
-    """Nothing is sent, and the refusal comes at once."""
+def test_record_fails_at_once_if_the_store_is_unreachable():
+    """Nothing is sent, and the caller is told to retry elsewhere."""
     store = FakeStore()
     store.reachable = False
     with pytest.raises(exception.LogUnavailable) as caught:
-        asyncio.run(written(store, deadline_s=60.0))
+        asyncio.run(write_record(store, deadline_s=60.0))
     assert store.appends == []
     assert caught.value.retry_after_ms > 0
 
 
-def test_progress_in_doubt_is_repeated_under_its_number(job):
-    """A partition gets its doubtful append again before a new one."""
+def test_unconfirmed_append_is_repeated_with_its_sequence(job):
+    """A partition gets its unconfirmed append again before a new one."""
 
     async def scenario():
-        store = FakeStore([lost(), lost()])
+        store = FakeStore([lost_answer(), lost_answer()])
         writer = progress_writer.ProgressWriter(
             store=store,
             term=5,
@@ -133,17 +138,19 @@
             await asyncio.sleep(0.01)
         running.cancel()
         by_partition = {}
-        for partition, entries, sent in store.appends:
-            by_partition.setdefault(partition, []).append((entries, sent))
+        for partition, entries, writer_id in store.appends:
+            by_partition.setdefault(partition, []).append((entries, writer_id))
         first = by_partition[0]
         assert first[0] == first[1]
-        assert [sent for _, sent in first][:2] == [("scheduler", 5, 1)] * 2
+        assert [writer_id for _, writer_id in first][:2] == [
+            ("scheduler", 5, 1)
+        ] * 2
 
     asyncio.run(scenario())
 
 
-def test_fenced_writer_stops(job):
-    """A later term ends the writer instead of being retried."""
+def test_fence_of_a_later_term_ends_the_writer(job):
+    """The writer raises ``LogFenced`` instead of repeating the append."""
     fenced = exception.LogFenced(message="", remedy="")
 
     async def scenario():
@@ -160,8 +167,8 @@
         asyncio.run(scenario())
 
 
-def test_progress_survives_its_record(job):
-    """Done tasks, failures and checkpoints come back from a record."""
+def test_progress_is_restored_from_its_record(job):
+    """Done tasks, failed attempts and checkpoints are restored."""
     step = job.steps[0][0]
     step.mark_done(step.tasks[69])
     step.tasks[3].failed_attempts.add(7)
@@ -172,15 +179,15 @@
         spec=job.spec, arrived_ms=0.0, wall_offset_ms=0.0
     )
     records.apply_progress(restored, records.decode_progress(record))
-    again = restored.steps[0][0]
-    assert [task.index for task in again.tasks if task.done] == [69]
-    assert again.tasks[3].failed_attempts == {7}
-    assert again.tasks[4].checkpoint == "c4"
+    restored_step = restored.steps[0][0]
+    assert [task.index for task in restored_step.tasks if task.done] == [69]
+    assert restored_step.tasks[3].failed_attempts == {7}
+    assert restored_step.tasks[4].checkpoint == "c4"
     assert restored.steps[0][1].failed_attempts == {8}
 
 
-def test_records_that_wait_go_in_one_append():
-    """While an append is on its way, the others gather for the next."""
+def test_records_gather_while_an_append_is_in_flight():
+    """Twenty records written during slow appends need three at most."""
 
     class SlowStore(FakeStore):
         async def append(self, *arguments, **options):
--- a/packages/cicadafold/src/cicadafold/platform/wire.py
+++ b/packages/cicadafold/src/cicadafold/platform/wire.py
@@ -166,7 +166,7 @@
 def job_document(job_file):
     """Returns a job file as the document that a caller sends."""
     return WireJob(
-        steps=[wire_step(step.spec()) for step in job_file.step],
+        steps=[wire_step(step.to_spec()) for step in job_file.step],
         spec=job_file.payload,
         repeats=job_file.repeats,
         firstRunMs=job_file.first_due_ms,
