--- a/packages/cicadafold/src/cicadafold/dispatch/placing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/placing.py
@@ -1,56 +1,64 @@
-"""Places waiting tasks: ranks steps, chooses workers, orders starts."""
+"""Places waiting tasks: ranks steps, chooses workers, sends starts."""
 
 import asyncio
 
 from cicadafold import clock
 from cicadafold.dispatch import runs
 from cicadafold.dispatch import ticketing
-from cicadafold.platform import worker_calls
+from cicadafold.platform import worker_client
 from cicadafold.scheduling import estimates
 from cicadafold.scheduling import placement
 from cicadafold.scheduling import ranking
 from cicadafold.scheduling import reservation
-from cicadafold.scheduling import rooms
 from cicadafold.scheduling import speeds
+from cicadafold.scheduling import views
 from cicadafold.telemetry import logs
 
 __all__ = ["Placer"]
 
-# Least time between two passes; several ends are answered by one pass.
+# Pause after a pass, so that one pass handles several ends.
 PASS_PAUSE_S = 0.006
-# A pass without an event, for tickets, pauses and schedules that run out.
+# Longest time without a pass; expiring tickets and due jobs request none.
 IDLE_PASS_S = 0.1
-# Attempt numbers of a term stand above those of all earlier terms.
+# Attempt numbers that a term may use; those of a later term are higher.
 ATTEMPTS_PER_TERM = 1_000_000
 MILLISECONDS = 1000.0
-# Gangs for which workers are kept at a time, and how far ahead.
-MAX_RESERVED = 3
-LONGEST_RESERVED_MS = 8000.0
-# Reservations are chosen anew this often.
+# Most gangs for which workers are reserved at a time.
+MAX_RESERVATIONS = 3
+# No workers are reserved for a gang that would fit later than this.
+MAX_RESERVATION_MS = 8000.0
+# Time between two computations of the reservations.
 RESERVE_PERIOD_MS = 120.0
-# A task may use a reserved worker if it ends well before it is needed.
+# A task may use a worker reserved for a gang if this multiple of its expected
+# duration ends before the gang is expected to start.
 BACKFILL_FACTOR = 1.2
 
-
 LOG = logs.get_logger("placing")
-Result = worker_calls.StartResult
+Result = worker_client.CommandResult
 
 
 class Placer:
-    """Starts waiting tasks wherever there is room.
+    """Starts waiting tasks on workers with free capacity.
 
     Args:
-        term: Term of the scheduler.
-        table: Jobs.
-        learned: Expected durations.
+        term: Number of the scheduler's term.
+        table: Table of the jobs.
+        estimates: Duration estimates.
         workers: Workers by name.
-        links: Links by the name of the worker.
-        settled: Function that tells whether the workers of a pool are
-            known not to run tasks of an earlier scheduler.
-        steady: Function that tells whether orders may be given.
+        links: Links to the workers by name of the worker.
+        all_runs_known: Function that tells whether all run attempts of
+            earlier terms on the workers of a pool are known.
+        commands_allowed: Function that tells whether to send commands now.
         spawn: Function that runs a coroutine as a task.
-        lease: Times of leases.
-        metrics: Where starts are counted.
+        lease: Lease times.
+        metrics: Metrics in which starts are counted.
+
+    Attributes:
+        advice_dispatcher: Requester of advice, None without advice service.
+        reserved: Reservations by name of the worker: the monotonic time in
+            milliseconds when the gang is expected to start, and its step.
+        rank: Queue order; see ``ranking``.
+        score: Placement policy; see ``placement``.
     """
 
     def __init__(
@@ -58,92 +66,98 @@
         *,
         term,
         table,
-        learned,
+        estimates,
         workers,
         links,
-        settled,
-        steady,
+        all_runs_known,
+        commands_allowed,
         spawn,
         lease,
         metrics,
     ):
         self.term = term
         self.table = table
-        self.learned = learned
+        self.estimates = estimates
         self.workers = workers
         self.links = links
-        self.settled = settled
-        self.steady = steady
+        self.all_runs_known = all_runs_known
+        self.commands_allowed = commands_allowed
         self.spawn = spawn
         self.lease = lease
         self.metrics = metrics
-        self.desk = None
-        self.tickets = ticketing.TicketPlanner(workers=workers)
+        self.advice_dispatcher = None
+        self.ticket_planner = ticketing.TicketPlanner(workers=workers)
         self.reserved = {}
         self.reserved_at_ms = -RESERVE_PERIOD_MS
-        self.slow = set()
-        self.very_slow = set()
-        self.wanted = asyncio.Event()
+        self.slow_workers = set()
+        self.very_slow_workers = set()
+        self.pass_requested = asyncio.Event()
         self.rank = ranking.RANKINGS["slack"]
-        self.rate = placement.POLICIES["best-fit"]
+        self.score = placement.POLICIES["best-fit"]
 
     def wake(self):
-        """Asks for a pass."""
-        self.wanted.set()
+        """Requests a pass over the waiting steps."""
+        self.pass_requested.set()
 
     async def run(self):
-        """Makes passes for as long as the term lasts."""
+        """Makes passes, on request and periodically, until the term ends."""
         while True:
             try:
                 async with asyncio.timeout(IDLE_PASS_S):
-                    await self.wanted.wait()
+                    await self.pass_requested.wait()
             except TimeoutError:
                 pass
-            self.wanted.clear()
-            if self.steady():
-                self.place()
+            self.pass_requested.clear()
+            if self.commands_allowed():
+                self.place_waiting_steps()
             await asyncio.sleep(PASS_PAUSE_S)
 
-    def place(self):
-        """Makes one pass over the waiting steps."""
+    def place_waiting_steps(self):
+        """Places the tasks of the waiting steps in order of their rank.
+
+        Steps whose queue needs advice are only placed on workers with a valid
+        ticket; missing tickets are requested.
+        """
         now_ms = clock.monotonic_ms()
         ranked = self.waiting_steps(now_ms)
         if not ranked:
             return
-        views = self.views(now_ms)
-        self.slow = self.slower_than(speeds.SLOW)
-        self.very_slow = self.slower_than(speeds.VERY_SLOW)
-        asks = []
+        pools = self.scheduling_views(now_ms)
+        self.slow_workers = self.slower_than(speeds.SLOW_SPEED)
+        self.very_slow_workers = self.slower_than(speeds.VERY_SLOW_SPEED)
+        requests = []
         unplaced = []
         for rank, step, tasks in ranked:
-            pool = views.get(step.job.rule.pool)
+            pool = pools.get(step.job.rule.pool)
             if not pool:
                 continue
             tickets = None
             if step.job.rule.advice is not None:
-                tickets = self.tickets.valid(step, now_ms)
-                ask = self.tickets.want(rank, step, tickets, pool, now_ms)
-                if ask is not None:
-                    asks.append(ask)
+                tickets = self.ticket_planner.valid_tickets(step, now_ms)
+                request = self.ticket_planner.next_request(
+                    rank, step, tickets, pool, now_ms
+                )
+                if request is not None:
+                    requests.append(request)
                 if not tickets:
                     continue
             placed = self.place_step(step, tasks, pool, tickets, now_ms)
             if not placed and step.spec.gang:
                 unplaced.append(step)
-        self.reserve(unplaced, views, now_ms)
-        if self.desk is not None:
-            self.desk.replace(asks)
+        self.reserve(unplaced, pools, now_ms)
+        if self.advice_dispatcher is not None:
+            self.advice_dispatcher.replace_queue(requests)
 
-    def reserve(self, gangs, views, now_ms):
-        """Keeps workers for the first gangs that did not fit."""
+    def reserve(self, gangs, pools, now_ms):
+        """Reserves workers for the first gangs that did not fit."""
         if now_ms - self.reserved_at_ms < RESERVE_PERIOD_MS:
             return
         self.reserved_at_ms = now_ms
         self.reserved = {}
-        for step in gangs[:MAX_RESERVED]:
-            pool = views[step.job.rule.pool]
+        for step in gangs[:MAX_RESERVATIONS]:
+            pool = pools[step.job.rule.pool]
             futures = [
-                reservation.FutureRoom(
+                reservation.FutureCapacity(
                     view, self.expected_ends(self.workers[name], now_ms)
                 )
                 for name, view in pool.items()
@@ -154,33 +168,39 @@
                 )
             ]
             found = reservation.reserve(self.demand(step), futures)
-            if found is None or found.in_ms > LONGEST_RESERVED_MS:
+            if found is None or found.fits_in_ms > MAX_RESERVATION_MS:
                 continue
             for name in found.hosts:
-                self.reserved[name] = (now_ms + found.in_ms, step)
+                self.reserved[name] = (now_ms + found.fits_in_ms, step)
 
     def expected_ends(self, worker, now_ms):
-        """Returns when the runs of a worker are expected to end."""
+        """Returns when the run attempts on a worker are expected to end.
+
+        Returns:
+            Pairs of expected remaining milliseconds and released resources,
+            without run attempts of unknown jobs and of lasting tasks.
+        """
         ends = []
         for run in worker.runs.values():
             task = run.task
             if task is None or task.step.spec.lasting:
                 continue
-            expected_ms = self.learned.step_ms(task.step)
+            expected_ms = self.estimates.step_task_duration_ms(task.step)
             ran_ms = now_ms - run.started_ms
             left_ms = estimates.remaining_ms(expected_ms, ran_ms, run.percent)
             ends.append((left_ms, run.room))
         return ends
 
-    def kept_for_others(self, step, now_ms):
-        """Returns reserved workers that a step should or must not use.
+    def reserved_for_others(self, step, now_ms):
+        """Returns the workers that are reserved for other steps.
 
         Returns:
-            Workers to use last, and workers not to use at all.
+            Names of workers to use last, and names of workers not to use, as
+            the gang would need them before a task of this step ends.
         """
         last, never = set(), set()
         job = step.job
-        task_ms = self.learned.step_ms(step)
+        task_ms = self.estimates.step_task_duration_ms(step)
         for name, (until_ms, gang) in self.reserved.items():
             if gang is step:
                 continue
@@ -191,10 +211,14 @@
         return last, never
 
     def waiting_steps(self, now_ms):
-        """Returns ranked steps with the tasks that wait."""
+        """Returns the steps with waiting tasks in order of their rank.
+
+        Jobs that an earlier term may have started are left out until all run
+        attempts in their pool are known.
+        """
         ranked = []
         for job in self.table.active.values():
-            if job.inherited and not self.settled(job.rule.pool):
+            if job.inherited and not self.all_runs_known(job.rule.pool):
                 continue
             if job.spec.repeats:
                 job.create_due_occurrences(now_ms)
@@ -205,14 +229,14 @@
                     if step.done or not step.is_ready(now_ms):
                         continue
                     tasks = step.startable_tasks(now_ms)
-                    if tasks and self.startable(step, tasks, now_ms):
+                    if tasks and self.can_start(step, tasks, now_ms):
                         rank = self.rank_of(step, now_ms)
                         ranked.append((rank, step, tasks))
         ranked.sort(key=lambda item: item[0])
         return ranked
 
-    def startable(self, step, tasks, now_ms):
-        """Whether a step may start tasks; a gang waits until it is whole."""
+    def can_start(self, step, tasks, now_ms):
+        """Whether a step may start: a gang needs all its tasks waiting."""
         if not step.spec.gang:
             return True
         return (
@@ -220,10 +244,10 @@
         )
 
     def rank_of(self, step, now_ms):
-        """Returns the rank of a step, made unique by its name."""
+        """Returns the rank of a step; ties are broken by its identity."""
         job = step.job
-        task_ms = self.learned.step_ms(step)
-        waiting = ranking.Waiting(
+        task_ms = self.estimates.step_task_duration_ms(step)
+        waiting = ranking.WaitingStep(
             priority=job.rule.priority,
             arrived_ms=job.due_ms(step.occurrence),
             objective_ms=job.objective,
@@ -232,17 +256,17 @@
         rank = self.rank(waiting, now_ms)
         return (rank, job.spec.id, step.occurrence, step.number)
 
-    def views(self, now_ms):
-        """Returns the free room of the usable workers by pool."""
+    def scheduling_views(self, now_ms):
+        """Returns the views of the usable workers by pool and name."""
         pools = {}
         for worker in self.workers.values():
             if worker.usable(now_ms):
                 name, pool = worker.report.id, worker.report.pool
-                pools.setdefault(pool, {})[name] = worker.view()
+                pools.setdefault(pool, {})[name] = worker.scheduling_view()
         return pools
 
     def slower_than(self, share):
-        """Returns the workers below a share of the usual speed."""
+        """Returns the names of workers below a share of the usual speed."""
         return {
             name
             for name, worker in self.workers.items()
@@ -250,29 +274,37 @@
         }
 
     def place_step(self, step, tasks, pool, tickets, now_ms):
-        """Places tasks of one step and orders their starts.
+        """Places tasks of one step and starts them.
+
+        Args:
+            step: Step.
+            tasks: Waiting tasks of the step.
+            pool: Views of the usable workers by name; capacity of the placed
+                tasks is reserved in them.
+            tickets: Valid tickets by name of the worker, None without advice.
+            now_ms: Monotonic time in milliseconds.
 
         Returns:
             Whether any task was placed.
         """
         spec = step.spec
-        last, never = self.kept_for_others(step, now_ms)
-        last |= self.slow
-        never |= self.very_slow
+        last, never = self.reserved_for_others(step, now_ms)
+        last |= self.slow_workers
+        never |= self.very_slow_workers
         if never:
             pool = {k: v for k, v in pool.items() if k not in never}
         demand = self.demand(
             step, len(tasks), tickets, step.avoided_workers | last
         )
-        chosen = placement.place(demand, pool, rate=self.rate)
+        chosen = placement.place(demand, pool, score=self.score)
         if not chosen:
             return False
         step.start_count += 1
         attempt = (self.term - 1) * ATTEMPTS_PER_TERM + step.start_count
-        started = []
+        planned = []
         for task, name in zip(tasks, chosen):
             worker = self.workers[name]
-            run = runs.Run(
+            run = runs.RunAttempt(
                 task=task,
                 name=task.name,
                 attempt=attempt,
@@ -283,17 +315,17 @@
             )
             worker.add(run)
             ticket = tickets[name] if tickets else ""
-            started.append((run, ticket))
+            planned.append((run, ticket))
         self.log_start(step, attempt, chosen, now_ms)
         step.job.started = True
-        for run, ticket in started:
+        for run, ticket in planned:
             self.spawn(self.start(run, ticket))
         return True
 
     def demand(self, step, tasks=None, allowed=None, avoid=()):
-        """Returns what the waiting tasks of a step need."""
+        """Returns the demand of some or (``tasks`` is None) all tasks."""
         spec = step.spec
-        return rooms.Demand(
+        return views.Demand(
             tasks=spec.tasks if tasks is None else tasks,
             need=spec.reserved_resources,
             gang=spec.gang,
@@ -301,13 +333,13 @@
             label=spec.label,
             data_rack=spec.data_rack,
             per_host=spec.per_host,
-            present=present(step) if spec.per_host else {},
+            running_per_worker=count_runs(step) if spec.per_host else {},
             allowed=allowed,
             avoid=avoid,
         )
 
     def log_start(self, step, attempt, chosen, now_ms):
-        """Logs a decision to start tasks."""
+        """Logs and counts the starts of one attempt of a step."""
         self.metrics.count("starts", len(chosen), queue=step.job.rule.name)
         waited_ms = now_ms - step.ready_ms
         self.metrics.record_us(
@@ -316,7 +348,7 @@
             queue=step.job.rule.name,
         )
         LOG.info(
-            "Tasks are started.",
+            "Starting tasks of a step.",
             fields={
                 "request_id": step.job.spec.id,
                 "step": step.number,
@@ -329,36 +361,36 @@
         )
 
     async def start(self, run, ticket):
-        """Orders one run."""
+        """Sends the start command of a run attempt and handles the answer."""
         worker = run.worker
         link = self.links[worker.report.id]
         task = run.task
-        if not self.steady():
-            # Placed before a stall of this process; nothing was sent.
+        if not self.commands_allowed():
+            # This process stalled after the placement; nothing was sent.
             link.events.on_run_gone(worker, run, "stalled")
             return
-        order = worker_calls.StartOrder(
+        command = worker_client.StartCommand(
             name=task.name,
             attempt=run.attempt,
             payload=task.step.job.spec.payload,
-            deadline_ms=worker.lease_until(
+            deadline_ms=worker.extend_lease(
                 self.lease.lease_ms, clock.monotonic_ms()
             ),
             checkpoint=task.step.checkpoint_for(task),
             ticket=ticket,
         )
-        result = await link.start(run, order)
-        if result is Result.NO_TICKET:
+        result = await link.start(run, command)
+        if result is Result.INVALID_TICKET:
             task.step.tickets.pop(worker.report.id, None)
         elif result is Result.UNHEALTHY:
             worker.quarantined_until_ms = clock.monotonic_ms() + MILLISECONDS
-        if result is not Result.TAKEN and task.step.spec.gang:
+        if result is not Result.ACCEPTED and task.step.spec.gang:
             link.events.stop_attempt(task.step, run.attempt)
         self.wake()
 
 
-def present(step):
-    """Returns how many tasks of a step each worker may have."""
+def count_runs(step):
+    """Returns how many tasks of a step may run on each worker, by name."""
     counts = {}
     for task in step.tasks:
         for run in task.runs:
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
@@ -68,7 +68,7 @@
         task = run.task
         if task is None or task.step.spec.lasting or task.step.spec.fills:
             return None
-        return self.estimates.step_ms(task.step)
+        return self.estimates.step_task_duration_ms(task.step)
 
     def on_capacity_changed(self):
         """Notes that room may have become free."""
@@ -100,7 +100,7 @@
             None if the end has to be handled later.
         """
         key = (end.name, end.attempt)
-        if self.job_table.unknown(
+        if self.job_table.is_unknown(
             end.name
         ) and self.unknown_runs.may_become_known(key):
             return None
@@ -156,13 +156,15 @@
 
     def on_task_done(self, worker, task, run):
         """Applies a success."""
-        worker.faults = 0
-        worker.faulty_jobs = frozenset()
+        worker.quarantines_in_a_row = 0
+        worker.failed_jobs = frozenset()
         if run is not None and not task.done:
             ran_ms = clock.monotonic_ms() - run.started_ms
             if not task.checkpoint:
-                self.estimates.learn(task.step.job.spec.queue, ran_ms)
-        return self.job_table.task_done(task)
+                self.estimates.record_duration(
+                    task.step.job.spec.queue, ran_ms
+                )
+        return self.job_table.complete_task(task)
 
     def on_task_failed(self, worker, task, end):
         """Applies a failure, and judges the worker by it."""
@@ -174,21 +176,22 @@
             return 0
         if task.step.spec.gang:
             self.restart_gang(task.step, end.attempt)
-        return self.job_table.task_failed(task, end.attempt)
+        return self.job_table.record_task_failure(task, end.attempt)
 
     def quarantine_if_faulty(self, worker, job):
         """Keeps new runs from a worker on which many jobs fail."""
-        worker.faulty_jobs = worker.faulty_jobs | {job}
+        worker.failed_jobs = worker.failed_jobs | {job}
         # After a pause, one failure without a success is enough.
-        bound = 1 if worker.faults else FAULTY_JOBS
-        if len(worker.faulty_jobs) < bound:
+        bound = 1 if worker.quarantines_in_a_row else FAULTY_JOBS
+        if len(worker.failed_jobs) < bound:
             return
-        worker.faults += 1
+        worker.quarantines_in_a_row += 1
         pause_ms = min(
-            LONGEST_QUARANTINE_MS, QUARANTINE_MS * 2 ** (worker.faults - 1)
+            LONGEST_QUARANTINE_MS,
+            QUARANTINE_MS * 2 ** (worker.quarantines_in_a_row - 1),
         )
         worker.quarantined_until_ms = clock.monotonic_ms() + pause_ms
-        worker.faulty_jobs = frozenset()
+        worker.failed_jobs = frozenset()
         LOG.warning(
             "A worker gets no new runs for a while.",
             fields={"worker": worker.report.id, "pause_ms": pause_ms},
@@ -212,7 +215,7 @@
         LOG.info(
             "A run is gone: %s.",
             reason,
-            fields=runs.run_fields(run),
+            fields=runs.run_log_fields(run),
         )
         task = run.task
         if task is None or task.done:
@@ -231,7 +234,7 @@
         job = self.job_table.jobs.get(row.name.job)
         room = task_resources(job, row.name, worker)
         now_ms = clock.monotonic_ms()
-        run = runs.Run(
+        run = runs.RunAttempt(
             task=task,
             name=row.name,
             attempt=row.attempt,
@@ -242,7 +245,7 @@
         )
         run.answered_ms = now_ms
         run.percent = row.percent
-        if self.job_table.unknown(row.name):
+        if self.job_table.is_unknown(row.name):
             self.keep_unknown_run(worker, run, row)
             return
         keep = (
@@ -294,7 +297,7 @@
         for run in self.unknown_runs.pop_without_record():
             LOG.warning(
                 "A run of an unknown job is stopped.",
-                fields=runs.run_fields(run),
+                fields=runs.run_log_fields(run),
             )
             self.stop_run(run)
 
--- a/packages/cicadafold/src/cicadafold/election/candidate.py
+++ b/packages/cicadafold/src/cicadafold/election/candidate.py
@@ -193,7 +193,7 @@
             generation=self.generation,
         )
         self.generation = found.generation
-        is_successor = (TOPIC, SUCCESSOR_PARTITION) in found.held
+        is_successor = (TOPIC, SUCCESSOR_PARTITION) in found.assigned
         if is_successor != self.is_successor:
             LOG.info(
                 "This process is now the successor of the scheduler."
@@ -224,7 +224,7 @@
         if health is messages.Health.DEGRADED:
             # After an outage of the store the scheduler needs some time to
             # recover, as this process did.
-            recovered_ms = clock.monotonic_ms() - self.store.failed_ms
+            recovered_ms = clock.monotonic_ms() - self.store.last_failed_ms
             return recovered_ms < DEGRADED_GRACE_MS
         return health is messages.Health.HEALTHY
 
--- a/packages/cicadafold/src/cicadafold/election/terms.py
+++ b/packages/cicadafold/src/cicadafold/election/terms.py
@@ -175,7 +175,7 @@
         appended = await store.append(
             CONTROL_TOPIC, PARTITION, [(KEY, body)], at=end
         )
-    except (exception.LogMoved, exception.LinkLost) as error:
+    except (exception.LogEndMoved, exception.LinkLost) as error:
         LOG.info("The claim of a term was not confirmed: %s", error)
         return None
     return appended.offset + 1
--- a/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
+++ b/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
@@ -34,12 +34,12 @@
     async def append(self, topic, partition, entries, *, at=None):
         """Appends entries if the partition ends at the expected offset."""
         if at is not None and at != len(self.entries):
-            raise exception.LogMoved(end=len(self.entries))
+            raise exception.LogEndMoved(end=len(self.entries))
         offset = len(self.entries)
         self.entries.extend(entries)
         if self.lose_answers:
             raise exception.LinkLost(message="Lost.", remedy="")
-        return log_store.Appended(offset, len(self.entries))
+        return log_store.AppendResult(offset, len(self.entries))
 
 
 def claim_entry(member):
@@ -156,7 +156,7 @@
             return health
 
         process = candidate.Candidate(
-            store=types.SimpleNamespace(failed_ms=-1e12),
+            store=types.SimpleNamespace(last_failed_ms=-1e12),
             claims=tail,
             member="me",
             address="",
--- a/packages/cicadafold/src/cicadafold/peers/scheduler_client.py
+++ b/packages/cicadafold/src/cicadafold/peers/scheduler_client.py
@@ -195,7 +195,9 @@
     health = messages.Health.NO_TERM
     if node.term is not None:
         health = node.term.health()
-    return messages.HealthReply(query.number, health, node.store.age_ms)
+    return messages.HealthReply(
+        query.number, health, node.store.since_served_ms
+    )
 
 
 @link.handles(messages.JobAccepted)
