--- a/packages/cicadafold/src/cicadafold/daemon/__init__.py
+++ b/packages/cicadafold/src/cicadafold/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The process on an entry host."""
+"""The processes on an entry host: their components, start and stop."""
--- a/packages/cicadafold/src/cicadafold/daemon/cell_main.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_main.py
@@ -1,4 +1,4 @@
-"""Entry point of a process of the cell."""
+"""Entry point of the process of the cell on one entry host."""
 
 import asyncio
 import gc
@@ -19,38 +19,47 @@
 __all__ = ["CellService", "main"]
 
 EXIT_USAGE = 2
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 GC_THRESHOLD = 50_000
-# Share of the time until the kill in which requests in hand come to their
-# end, after the balancer has noticed.
-FINISH_SHARE = 0.4
+# Share of the grace period in which requests in flight may finish, once the
+# load balancer sends no new ones.
+FINISH_GRACE_SHARE = 0.4
 
 LOG = logs.get_logger("node")
 
 
 class CellService(aiomisc.Service):
-    """Runs one process from its start to the end of its drain."""
+    """Runs the process from its start to the end of its drain.
+
+    Attributes:
+        settings: ``CellSettings`` of the process.
+    """
 
     settings = None
 
     async def start(self):
-        """Serves until the process is asked to stop."""
+        """Runs the process until a signal asks it to stop, then drains it.
+
+        Also stops, without a drain, when the supervisor gives up on a
+        component that fails too often.
+        """
         loop = asyncio.get_running_loop()
         node = cell_node.CellNode(settings=self.settings)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, node.stop_requested.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, node.stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self.on_reload)
         runners = await self.serve(node)
         gc.freeze()
-        parts = asyncio.create_task(node.supervisor().run())
+        supervision_task = asyncio.create_task(node.supervisor().run())
         LOG.info("The process has started.", fields={"node": node.member})
-        waiting = asyncio.create_task(node.stop_requested.wait())
+        stop_waiter = asyncio.create_task(node.stop_requested.wait())
         await asyncio.wait(
-            {waiting, parts}, return_when=asyncio.FIRST_COMPLETED
+            {stop_waiter, supervision_task},
+            return_when=asyncio.FIRST_COMPLETED,
         )
-        if not parts.done():
+        if not supervision_task.done():
             await node.drain(runners[0].cleanup)
-        parts.cancel()
+        supervision_task.cancel()
         for runner in runners[1:]:
             await runner.cleanup()
         await node.close()
@@ -58,19 +67,32 @@
         loop.stop()
 
     def on_reload(self):
-        """Reads the settings again and says what would change."""
+        """Reads the settings file again and logs whether it has changed.
+
+        Changed settings take effect only when the process restarts.
+        """
         result = boot.load(boot.settings_path())
         if result.is_error():
             for fault in result.error:
-                LOG.error("The new settings have a fault: %s", fault)
+                LOG.error(
+                    "The settings file has an error and is ignored: %s", fault
+                )
             return
         LOG.info(
-            "The settings were read again.",
+            "The settings file was read again; changes apply after a restart.",
             fields={"changed": result.ok != self.settings},
         )
 
     async def serve(self, node):
-        """Opens all addresses of the settings."""
+        """Opens the listening addresses of the settings.
+
+        Args:
+            node: ``CellNode`` of the process.
+
+        Returns:
+            The ``web.AppRunner`` objects, that of the callers' address
+            first.
+        """
         settings = self.settings
         calls = job_server.CallerCalls(
             door=node.job_service,
@@ -87,12 +109,12 @@
             (settings.peer_address, peers),
             (settings.metrics_address, metrics_app(node)),
         )
-        finish_s = settings.grace_s * FINISH_SHARE
+        finish_s = settings.grace_s * FINISH_GRACE_SHARE
         return [await listen(address, app, finish_s) for address, app in apps]
 
 
 def metrics_app(node):
-    """Returns the application that serves the metrics."""
+    """Returns the web application that serves the metrics of a node."""
 
     async def handle(request):
         return web.Response(text=node.metrics.render())
@@ -103,22 +125,30 @@
 
 
 async def listen(address, app, finish_s):
-    """Serves an application on an address.
+    """Serves a web application on an address.
 
     Args:
         address: IP number and port.
-        app: Application.
-        finish_s: Seconds that requests in hand are given at the end.
+        app: Web application.
+        finish_s: Seconds that requests in flight may take when the
+            application is shut down.
+
+    Returns:
+        The ``web.AppRunner`` of the application.
     """
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=finish_s)
     await runner.setup()
     host, _, port = address.rpartition(":")
-    await web.TCPSite(runner, host, int(port), backlog=BACKLOG).start()
+    await web.TCPSite(runner, host, int(port), backlog=LISTEN_BACKLOG).start()
     return runner
 
 
 def main():
-    """Checks the settings and runs the process."""
+    """Checks the settings and runs the process.
+
+    Exits with status 2 and the faults on the standard error stream if the
+    settings are not valid.
+    """
     result = boot.load(boot.settings_path())
     if result.is_error():
         for fault in result.error:
--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -1,4 +1,4 @@
-"""One process of the cell: entry host always, scheduler when elected."""
+"""One process of the cell: serves callers, and schedules while elected."""
 
 import asyncio
 import secrets
@@ -30,25 +30,35 @@
 
 PEER_HEARTBEAT_S = 1.0
 MAX_MESSAGE_BYTES = 1 << 20
-# Connections to one worker: a renewal that waits, and orders beside it.
+# One connection is held by a renewal that waits, the others send commands.
 CONNECTIONS_PER_WORKER = 6
 KEEP_ALIVE_S = 60.0
-# Ending a term and leaving the group take a few round trips.
+# Longest time for each of the two steps of a handover, ending the term and
+# leaving the group. Each takes a few round trips.
 HANDOVER_TIMEOUT_S = 0.5
-# Share of the time until the kill: the balancer notices after two missed
-# checks, a second apart.
-REROUTE_SHARE = 0.42
+# Share of the grace period after which the load balancer sends no new
+# requests here: it needs two failed readiness checks, a second apart.
+REROUTE_GRACE_SHARE = 0.42
 
 LOG = logs.get_logger("node")
 
 
 class CellNode:
-    """Holds the parts of one process and the term that it may serve.
+    """Components of one process, and the term that it serves, if any.
 
     Args:
-        settings: Checked settings.
-        make_session: Function that returns a client session, given the
-            most connections to one address.
+        settings: Checked ``CellSettings``.
+        make_session: Function that returns an HTTP client session, given
+            the maximum number of connections to one address.
+
+    Attributes:
+        member: Name of the process, new at each start.
+        draining: Whether the process is about to stop.
+        stop_requested: Event set when the process should drain and stop.
+        term: ``Term`` that the process serves, or None.
+        term_task: Task that serves the last term, or None.
+        peers: ``AdviceLine`` of each peer by its open ``PeerLink``.
+        own_handle: The same for this process.
     """
 
     def __init__(self, *, settings, make_session=None):
@@ -130,7 +140,7 @@
         )
 
     def supervisor(self):
-        """Returns the supervisor of the parts that always run."""
+        """Returns the supervisor of the components that always run."""
         child = supervision.Child
         return supervision.Supervisor(
             name="node",
@@ -144,10 +154,10 @@
         )
 
     def ready(self):
-        """Whether new connections of callers are welcome.
+        """Whether the load balancer should send callers to this host.
 
         A host that reaches neither the store nor the scheduler can accept
-        nothing. If all are so, the balancer uses all of them again.
+        nothing. If no host is ready, the balancer uses all of them again.
         """
         return (
             self.routes.current is not None
@@ -160,20 +170,24 @@
         return not self.store.reachable and self.scheduler_link.link is None
 
     def on_configuration(self, configuration):
-        """Hands a new configuration to the term."""
+        """Passes a new configuration to the term."""
         if self.term is not None:
             self.term.job_table.configure(configuration)
 
     def on_claim(self, claim):
-        """Begins or ends a term as the newest claim says."""
+        """Starts or ends a term according to the newest claim."""
         if self.term is not None and self.term.number < claim.term:
-            self.term.step_down(f"term {claim.term} has begun")
+            self.term.step_down(f"term {claim.term} has started")
         self.scheduler_link.follow(claim)
         if claim.member == self.member and not self.draining:
             self.term_task = asyncio.create_task(self.serve_term(claim))
 
     async def serve_term(self, claim):
-        """Serves one term to its end."""
+        """Serves one term until it ends, and announces its claim to the peers.
+
+        Args:
+            claim: Claim of the term by this process.
+        """
         settings = self.settings
         term = term_module.Term(
             number=claim.term,
@@ -190,18 +204,25 @@
             metrics=self.metrics,
         )
         self.term = term
-        announcing = asyncio.create_task(self.peer_directory.announce(claim))
+        announce_task = asyncio.create_task(
+            self.peer_directory.announce(claim)
+        )
         try:
             await term.run()
         except Exception as error:
             LOG.exception("The term failed: %s", error)
         finally:
-            announcing.cancel()
+            announce_task.cancel()
             if self.term is term:
                 self.term = None
 
     def make_calls(self, report, fence):
-        """Returns the client of a worker."""
+        """Returns the client for the calls to a worker.
+
+        Args:
+            report: Registry entry of the worker.
+            fence: Term that the worker checks.
+        """
         return worker_calls.WorkerCalls(
             session=self.worker_session,
             address=report.address,
@@ -211,21 +232,26 @@
         )
 
     def peer_handles(self):
-        """Returns the hosts that can call the advice service."""
+        """Returns the handles of all processes that the term can call."""
         return [self.own_handle, *self.peers.values()]
 
     def serving_term(self):
         """Returns the term that this process serves.
 
         Raises:
-            Starting: It serves none.
+            Starting: It serves no term.
         """
         if self.term is None:
             raise scheduler_client.starting_error()
         return self.term
 
     def on_hello(self, hello, peer):
-        """Takes a peer that has opened a link."""
+        """Registers a peer that has opened a link.
+
+        Args:
+            hello: First message of the peer.
+            peer: ``PeerLink`` to the peer.
+        """
         if self.term is not None and hello.term > self.term.number:
             self.term.step_down(f"a peer knows term {hello.term}")
         preferred = hello.strength >= campaign.STRONG
@@ -243,7 +269,7 @@
         self.address_broadcaster.schedule()
 
     async def serve_peer(self, request):
-        """Serves the link that a peer has opened."""
+        """Handles the HTTP request of a peer that opens a link."""
         socket = web.WebSocketResponse(
             heartbeat=PEER_HEARTBEAT_S, max_msg_size=MAX_MESSAGE_BYTES
         )
@@ -260,21 +286,24 @@
             self.peers.pop(peer, None)
 
     async def drain(self, close_callers):
-        """Hands over, and lets what is in hand come to its end.
+        """Hands the term over and finishes the requests in flight.
 
         Args:
             close_callers: Coroutine function that closes the callers'
-                address, before the parts that its calls need.
+                address, while the components that its calls need still run.
         """
-        LOG.info("The process is asked to stop.")
+        LOG.info("A stop was requested; draining the process.")
         self.draining = True
-        leaving = asyncio.create_task(self.hand_over())
-        await asyncio.sleep(self.settings.grace_s * REROUTE_SHARE)
+        handover_task = asyncio.create_task(self.hand_over())
+        await asyncio.sleep(self.settings.grace_s * REROUTE_GRACE_SHARE)
         await close_callers()
-        await leaving
+        await handover_task
 
     async def hand_over(self):
-        """Ends the own term and lets another process take its place."""
+        """Ends this process's term and leaves the election group.
+
+        Another process of the group then claims the next term.
+        """
         if self.term is not None:
             self.term.step_down("this process stops")
         if self.term_task is not None:
@@ -283,10 +312,13 @@
             async with asyncio.timeout(HANDOVER_TIMEOUT_S):
                 await self.campaign.leave()
         except TimeoutError:
-            LOG.warning("The group could not be left in time.")
+            LOG.warning(
+                "Could not leave the election group in time; the store"
+                " removes this process later."
+            )
 
     async def close(self):
-        """Closes all client sessions."""
+        """Closes all HTTP client sessions."""
         for session in (
             self.store_session,
             self.worker_session,
@@ -296,10 +328,10 @@
 
 
 def new_session(*, limit):
-    """Returns a client session with connections that are kept open.
+    """Returns an HTTP client session that keeps its connections open.
 
     Args:
-        limit: Connections to one address, 0 for no bound.
+        limit: Maximum number of connections to one address; 0 for no limit.
     """
     connector = aiohttp.TCPConnector(
         limit=0,
--- a/packages/cicadafold/src/cicadafold/daemon/draining.py
+++ b/packages/cicadafold/src/cicadafold/daemon/draining.py
@@ -1,4 +1,7 @@
-"""A planned stop: hands everything over and cuts no request in flight."""
+"""Drain before a planned stop of the single-request path's process.
+
+Other processes take over the racks, and requests in flight finish.
+"""
 
 import asyncio
 
@@ -15,12 +18,15 @@
 
 
 async def drain(node):
-    """Hands racks over, answers what is in flight, and leaves the cell.
+    """Hands racks over, finishes requests in flight, and leaves the cell.
+
+    Waits until nothing is left to do, at most until the drain deadline of
+    the settings.
 
     Args:
-        node: The node that stops.
+        node: ``Node`` of the process that stops.
     """
-    LOG.info("The drain has begun.")
+    LOG.info("The drain has started.")
     node.view.draining = True
     node.keeper.draining = True
     loop = asyncio.get_running_loop()
@@ -35,7 +41,7 @@
 
 
 def is_busy(node):
-    """Whether racks or requests are still in this process's hands."""
+    """Whether the process still owns racks or has requests to answer."""
     retiring = any(
         work.reply is None
         for owner in node.keeper.retiring.values()
@@ -45,10 +51,12 @@
 
 
 async def leave(node):
-    """Appends the leave record, if the log takes it."""
+    """Appends the leave record to the control log; a failure is logged."""
     record = records.Leave(member=node.name, incarnation=node.incarnation)
     try:
         async with asyncio.timeout(LEAVE_TIMEOUT_S):
             await node.appender.append(record)
     except (exception.CicadafoldError, TimeoutError):
-        LOG.warning("The leave could not be recorded.")
+        LOG.warning(
+            "Could not append the leave record; the process stops without it."
+        )
--- a/packages/cicadafold/src/cicadafold/daemon/main.py
+++ b/packages/cicadafold/src/cicadafold/daemon/main.py
@@ -1,4 +1,4 @@
-"""Entry point of ``cicadafoldd``."""
+"""Entry point of ``cicadafoldd``, the process of the single-request path."""
 
 import argparse
 import asyncio
@@ -19,7 +19,7 @@
 __all__ = ["NodeService", "main"]
 
 EXIT_USAGE = 2
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 SHUTDOWN_TIMEOUT_S = 1.0
 GC_THRESHOLD = 50_000
 
@@ -27,36 +27,52 @@
 
 
 class NodeService(aiomisc.Service):
-    """Runs one node from its start to the end of its drain."""
+    """Runs the process from its start to the end of its drain.
+
+    Attributes:
+        settings: Checked settings by key.
+    """
 
     settings = None
 
     async def start(self):
-        """Serves calls until the node is asked to stop."""
+        """Runs the process until a signal asks it to stop, then drains it.
+
+        Also stops, without a drain, when the supervisor gives up on a
+        component that fails too often.
+        """
         node = node_module.Node(settings=self.settings)
         stop = node.stop_requested.set
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, stop)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, stop)
         runner = await self.serve(node)
         gc.freeze()
-        parts = asyncio.create_task(node.supervisor().run())
-        joining = asyncio.create_task(node.join())
+        supervision_task = asyncio.create_task(node.supervisor().run())
+        join_task = asyncio.create_task(node.join())
         self.start_event.set()
-        waiting = asyncio.create_task(node.stop_requested.wait())
+        stop_waiter = asyncio.create_task(node.stop_requested.wait())
         await asyncio.wait(
-            {waiting, parts}, return_when=asyncio.FIRST_COMPLETED
+            {stop_waiter, supervision_task},
+            return_when=asyncio.FIRST_COMPLETED,
         )
-        if not parts.done():
+        if not supervision_task.done():
             await draining.drain(node)
-        joining.cancel()
-        parts.cancel()
+        join_task.cancel()
+        supervision_task.cancel()
         await runner.cleanup()
         await node.close()
         loop.stop()
 
     async def serve(self, node):
-        """Opens the addresses of the settings."""
+        """Opens the listening addresses of the settings.
+
+        Args:
+            node: ``Node`` of the process.
+
+        Returns:
+            The ``web.AppRunner`` of the application.
+        """
         runner = web.AppRunner(
             service_app.make_app(node),
             access_log=None,
@@ -64,14 +80,20 @@
         )
         await runner.setup()
         host, _, port = self.settings["member.listen"].rpartition(":")
-        await web.TCPSite(runner, host, int(port), backlog=BACKLOG).start()
+        await web.TCPSite(
+            runner, host, int(port), backlog=LISTEN_BACKLOG
+        ).start()
         if self.settings["security.tls_listen"]:
             await self.serve_tls(runner)
-        LOG.info("Calls are taken on %s:%s.", host, port)
+        LOG.info("Listening for calls on %s:%s.", host, port)
         return runner
 
     async def serve_tls(self, runner):
-        """Opens the address for calls over TLS."""
+        """Opens the listening address for calls over TLS.
+
+        Args:
+            runner: ``web.AppRunner`` of the application.
+        """
         context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
         context.load_cert_chain(
             self.settings["security.tls_certificate"],
@@ -83,7 +105,11 @@
 
 
 def main():
-    """Checks the settings and runs the node."""
+    """Checks the settings and runs the process.
+
+    Exits with status 2 and the faults on the standard error stream if the
+    settings are not valid.
+    """
     parser = argparse.ArgumentParser(prog="cicadafoldd")
     parser.add_argument("--settings", required=True, help="TOML file")
     arguments = parser.parse_args()
--- a/packages/cicadafold/src/cicadafold/daemon/node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/node.py
@@ -1,4 +1,7 @@
-"""One entry host: its parts, and what they need of each other."""
+"""Components of the single-request path's process on an entry host.
+
+The components reach each other, and state that they share, through ``Node``.
+"""
 
 import asyncio
 import functools
@@ -48,11 +51,22 @@
 
 
 class Node:
-    """The parts of one process.
+    """Components of one process, which is a member of the cell.
+
+    Args:
+        settings: Checked settings by key.
 
     Attributes:
-        incarnation: Identifier of this run of the process.
-        stop_requested: Set when the process should drain and stop.
+        name: Name of the member.
+        region: Region of the host.
+        failure_domain: Failure domain of the host.
+        incarnation: Identifier of this process between two starts.
+        stop_requested: Event set when the process should drain and stop.
+        kinds_revision: Revision of the configuration that ``kinds`` and
+            ``teams`` are from.
+        kinds: Kinds of requests by name.
+        teams: Teams by name.
+        in_flight: Number of callers' requests in flight.
     """
 
     def __init__(self, *, settings):
@@ -73,7 +87,7 @@
         self.create_components()
 
     def create_sessions(self):
-        """Opens the HTTP clients; control has its own connections."""
+        """Opens one HTTP client session for control and one for targets."""
         no_timeout = aiohttp.ClientTimeout(total=None)
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
@@ -91,7 +105,7 @@
         )
 
     def create_components(self):
-        """Creates the parts; nothing runs yet."""
+        """Creates the components and connects them; no task is started yet."""
         settings = self.settings
         adapter = settings["platform.adapter"]
         stream = interfaces.create(
@@ -153,7 +167,7 @@
         self.tail.listen(self.on_records)
 
     def supervisor(self):
-        """Returns the supervisor of all parts."""
+        """Returns the supervisor of all components."""
         log_group = supervision.Supervisor(
             name="log",
             children=[
@@ -182,7 +196,7 @@
         )
 
     async def join(self):
-        """Appends the join record, for as long as it takes."""
+        """Appends the join record and waits until it is applied here."""
         record = records.Join(
             member=self.name,
             incarnation=self.incarnation,
@@ -196,40 +210,55 @@
         LOG.info("This member has joined the cell.")
 
     async def close(self):
-        """Closes all connections."""
+        """Closes the links to peers and the HTTP client sessions."""
         await self.links.close()
         await self.session.close()
         await self.target_session.close()
 
-    # Addresses and members.
+    # Addresses and members
 
     def resolve(self, address):
-        """Returns the address to use for an announced one."""
+        """Returns the address to connect to for an announced address.
+
+        The setting ``platform.routes`` maps announced addresses that cannot
+        be reached directly.
+        """
         return self.settings["platform.routes"].get(address, address)
 
     def own_member(self):
-        """Returns this member's entry in the folded state, or None."""
+        """Returns this incarnation's entry in the replayed state, or None."""
         member = self.tail.state.members.get(self.name)
         if member is None or member.incarnation != self.incarnation:
             return None
         return member
 
     def count_members(self):
-        """Returns how many members share the log's append rate."""
+        """Returns how many members share the control log's append rate."""
         members = self.tail.state.members.values()
         return sum(not member.left for member in members)
 
     def is_ready(self):
-        """Whether this member may serve callers."""
+        """Whether this member has joined the cell and can serve callers."""
         return self.tail.ready and self.own_member() is not None
 
     async def call_member(self, member, lane, frame, *, timeout_s):
         """Sends a frame to a member, which may be this one.
 
+        Args:
+            member: Member to call.
+            lane: Priority lane of the request.
+            frame: Frame to send.
+            timeout_s: Seconds to wait for the reply.
+
+        Returns:
+            The reply.
+
         Raises:
-            LinkNotOpen: Nothing was sent.
-            LinkLost: The frame may have arrived.
-            TimeoutError: This process itself gave no reply in time.
+            LinkNotOpen: The link is not open; nothing was sent.
+            LinkLost: The link failed or no reply came in time; the member
+                may have received the frame.
+            TimeoutError: The frame was for this member, which gave no reply
+                in time.
         """
         if self.view.is_self(member):
             future = asyncio.get_running_loop().create_future()
@@ -239,7 +268,11 @@
         return await link.call(frame, timeout_s=timeout_s)
 
     def on_records(self, found):
-        """Follows the recorded workers, and who writes records."""
+        """Updates the worker table and the view after new control records.
+
+        Args:
+            found: Control records, in the order of the log.
+        """
         if any(isinstance(r, records.RackHosts) for r in found):
             self.hosts.rebuild()
         for record in found:
@@ -248,18 +281,18 @@
                 self.view.note_record(record.member, record.incarnation)
 
     def call_soon(self, function):
-        """Calls a function in the next turn of the event loop."""
+        """Calls a function in the next iteration of the event loop."""
         asyncio.get_running_loop().call_soon(function)
 
     def peer_headers(self):
-        """Returns the headers that calls to peers carry."""
+        """Returns the HTTP headers of calls to peers."""
         token = self.settings["security.peer_token"]
         return {"Authorization": f"Bearer {token}"} if token else {}
 
-    # Configuration.
+    # Configuration
 
     def refresh_configuration(self):
-        """Indexes the kinds and teams of a new revision."""
+        """Indexes kinds and teams anew if the configuration has changed."""
         configuration = self.tail.state.configuration
         if configuration.revision != self.kinds_revision:
             self.kinds_revision = configuration.revision
@@ -267,29 +300,29 @@
             self.teams = {team.name: team for team in configuration.teams}
 
     def kind(self, name):
-        """Returns a kind of work, or None."""
+        """Returns the kind of requests with a name, or None."""
         self.refresh_configuration()
         return self.kinds.get(name)
 
     def team(self, name):
-        """Returns a team, or None."""
+        """Returns the team with a name, or None."""
         self.refresh_configuration()
         return self.teams.get(name)
 
     def team_weight(self, name):
-        """Returns the weight of a team in the fair shares."""
+        """Returns the fair-share weight of a team."""
         team = self.team(name)
         return team.weight if team else 1
 
     def team_quota_cores(self, name):
-        """Returns a team's quota on one rack in cores; 0 is unlimited."""
+        """Returns a team's quota on one rack in cores; 0 means no limit."""
         team = self.team(name)
         if team is None or not team.quota_cores:
             return 0
         return team.quota_cores / max(1, len(self.hosts.racks))
 
     def headroom_slots(self):
-        """Returns the slots that patient work leaves free."""
+        """Returns the slots of a worker that patient requests leave free."""
         return self.tail.state.configuration.headroom_slots
 
     def longest_lease_ms(self):
@@ -298,10 +331,10 @@
         leases = (kind.lease_ms for kind in self.kinds.values())
         return max(leases, default=DEFAULT_LEASE_MS)
 
-    # Racks.
+    # Racks
 
     def target_client(self, address):
-        """Returns the client of a worker."""
+        """Returns the client for the calls to the worker at an address."""
         return interfaces.create(
             "target",
             self.settings["platform.adapter"],
@@ -310,12 +343,19 @@
         )
 
     def recorded_hosts(self, rack):
-        """Returns the names of a rack's recorded workers."""
+        """Returns the names of a rack's workers in the control log."""
         found = self.tail.state.rack_hosts.get(rack, [])
         return {host.name for host in found}
 
     async def record_hosts(self, owner, hosts):
-        """Records the workers that the owner of a rack may use."""
+        """Records in the control log which workers a rack's owner may use.
+
+        The owner gets its new workers only once the record is durable.
+
+        Args:
+            owner: Owner of the rack in this process.
+            hosts: Workers of the rack.
+        """
         record = records.RackHosts(
             rack=owner.name, term=owner.term, hosts=hosts
         )
@@ -323,10 +363,12 @@
             owner.update_hosts(self.hosts.of_rack(owner.name))
 
     async def append_and_apply(self, record):
-        """Appends a record and waits a while until it is folded here.
+        """Appends a control record and waits until it is applied here.
+
+        The wait for the replay is limited to ``APPLY_TIMEOUT_S``.
 
         Returns:
-            Whether the log took the record.
+            Whether the record is known to be durable.
         """
         try:
             offset = await self.appender.append(record)
@@ -339,12 +381,12 @@
         return True
 
     def count_links(self):
-        """Returns how many workers this process looks after."""
+        """Returns how many links to workers the owned racks have."""
         owners = self.keeper.owners.values()
         return sum(len(owner.links) for owner in owners)
 
     def own_digests(self):
-        """Returns the figures of the racks that this member owns."""
+        """Returns the load digests of the racks that this member owns."""
         return [owner.digest() for owner in self.keeper.owners.values()]
 
     def headroom_of(self, kind):
@@ -352,7 +394,7 @@
         return 0 if kind.lane.value == "urgent" else self.headroom_slots()
 
     def candidate_racks(self, request):
-        """Yields the racks that could hold a request, home first."""
+        """Yields the racks that could run a request, assigned rack first."""
         return self.routing.candidates(
             request.request_id,
             request.submit.origin,
@@ -361,7 +403,7 @@
         )
 
     def racks_that_fit(self, kind):
-        """Returns all racks that could hold a request of a kind."""
+        """Returns all racks that could run a request of a kind."""
         return [
             rack
             for rack in self.hosts.racks
@@ -369,7 +411,13 @@
         ]
 
     def rack_with_capacity(self, own_rack, kind, wait_ms):
-        """Returns another rack that has room now, or None."""
+        """Returns another rack with free capacity for a kind, or None.
+
+        Args:
+            own_rack: Name of the rack that has none.
+            kind: Kind of the request.
+            wait_ms: Expected wait on that rack in milliseconds.
+        """
         configuration = self.tail.state.configuration
         return self.routing.rack_with_room(
             own_rack,
@@ -380,7 +428,7 @@
         )
 
     def largest_worker_text(self):
-        """Tells what the largest worker could hold."""
+        """Returns the remedy for requests too large for every worker."""
         hosts = [h for r in self.hosts.racks.values() for h in r.hosts]
         largest = max(hosts, key=lambda host: (host.cores, host.memory_mb))
         return (
@@ -390,7 +438,7 @@
         )
 
     async def reaches_any_worker(self, rack):
-        """Whether a connection to some worker of a rack opens."""
+        """Whether a connection to any worker of a rack can be opened."""
         probes = [
             self.can_connect(self.resolve(host.address))
             for host in self.hosts.of_rack(rack)
@@ -398,7 +446,7 @@
         return any(await asyncio.gather(*probes))
 
     async def can_connect(self, address):
-        """Whether a connection to an address opens."""
+        """Whether a connection to an address opens within the probe timeout."""
         host, _, port = address.rpartition(":")
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
@@ -409,7 +457,11 @@
         return True
 
     async def confirm_owner(self, owner):
-        """Whether a read that begins now shows no newer claim."""
+        """Whether a read of the control log from now on shows no newer claim.
+
+        Args:
+            owner: Owner of the rack in this process.
+        """
         reached = await self.tail.confirm(timeout_s=CONFIRM_TIMEOUT_S)
         current = self.tail.state.owners.get(owner.name)
         return (
@@ -420,10 +472,10 @@
         )
 
     def on_superseded(self, owner):
-        """Stops owning a rack whose fence another has raised."""
+        """Stops owning a rack after a target has seen a newer fence."""
         self.keeper.retire(owner)
 
-    # Ledger.
+    # Recorded requests
 
     def is_open(self, request_id):
         """Whether a recorded request has no outcome yet."""
@@ -431,11 +483,11 @@
         return entry is not None and control_state.is_open(entry)
 
     def log_is_usable(self):
-        """Whether the log takes appends and answers reads."""
+        """Whether the control log accepts appends and answers reads."""
         return self.tail.reachable and not self.appender.is_refusing()
 
 
 def set_reply(future, reply):
-    """Gives a reply to the one that waits for it, if any still does."""
+    """Sets a reply as the result of a future, unless it has one already."""
     if not future.done():
         future.set_result(reply)
--- a/packages/cicadafold/src/cicadafold/daemon/supervision.py
+++ b/packages/cicadafold/src/cicadafold/daemon/supervision.py
@@ -1,4 +1,4 @@
-"""A supervisor: restarts its children, and gives up on a broken one."""
+"""Supervisor that restarts failed tasks, up to a limit."""
 
 import asyncio
 
@@ -7,18 +7,21 @@
 __all__ = ["Child", "Supervisor"]
 
 MAX_RESTARTS = 10
-WINDOW_S = 60.0
+RESTART_WINDOW_S = 60.0
 RESTART_PAUSE_S = 0.2
 
 LOG = logs.get_logger("supervisor")
 
 
 class Child:
-    """A task that should run for as long as the process lives.
+    """A task that should run for as long as the process does.
 
     Args:
-        name: Name for the logs.
-        run: Function that returns the coroutine to run.
+        name: Name of the task in log lines.
+        run: Coroutine function without arguments.
+
+    Attributes:
+        restarts: Loop times in seconds of the recent failures.
     """
 
     def __init__(self, *, name, run):
@@ -28,7 +31,15 @@
 
 
 class Supervisor:
-    """Runs children in one group; a group may be a child of another."""
+    """Runs a group of children; a group can be a child of another group.
+
+    Args:
+        name: Name of the group.
+        children: ``Child`` objects of the group.
+
+    Attributes:
+        tasks: Running tasks of the children.
+    """
 
     def __init__(self, *, name, children):
         self.name = name
@@ -36,7 +47,11 @@
         self.tasks = []
 
     async def run(self):
-        """Runs all children until one fails too often."""
+        """Runs all children until one fails too often, then stops the others.
+
+        Raises:
+            RuntimeError: A child has failed too often.
+        """
         self.tasks = [
             asyncio.create_task(self.run_with_restarts(child), name=child.name)
             for child in self.children
@@ -47,24 +62,31 @@
             await self.stop()
 
     async def run_with_restarts(self, child):
-        """Runs a child again whenever it fails."""
+        """Runs a child, and restarts it after each failure.
+
+        Raises:
+            RuntimeError: The child failed more than ``MAX_RESTARTS`` times
+                within ``RESTART_WINDOW_S`` seconds.
+        """
         loop = asyncio.get_running_loop()
         while True:
             try:
                 await child.run()
                 return
             except Exception as error:
-                LOG.exception("%s failed: %s", child.name, error)
+                LOG.exception("Task %s failed: %s", child.name, error)
             now_s = loop.time()
             child.restarts.append(now_s)
-            recent = [at for at in child.restarts if now_s - at < WINDOW_S]
+            recent = [
+                at for at in child.restarts if now_s - at < RESTART_WINDOW_S
+            ]
             child.restarts = recent
             if len(recent) > MAX_RESTARTS:
-                raise RuntimeError(f"{child.name} fails again and again.")
+                raise RuntimeError(f"Task {child.name} failed too often.")
             await asyncio.sleep(RESTART_PAUSE_S)
 
     async def stop(self):
-        """Stops all children."""
+        """Cancels all children and waits for their end."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
--- a/packages/cicadafold/src/cicadafold/job_service/service.py
+++ b/packages/cicadafold/src/cicadafold/job_service/service.py
@@ -136,13 +136,13 @@
         Raises:
             Starting: The scheduler did not answer before the deadline.
         """
-        found = await self.retry_until_answered(
+        state = await self.retry_until_answered(
             lambda timeout_s: self.scheduler.state(job, timeout_s=timeout_s),
             deadline_s,
         )
-        if found is None and job in self.accepted:
+        if state is None and job in self.accepted:
             return model.JobState.QUEUED
-        return found
+        return state
 
     async def pending(self, queue, *, deadline_s):
         """Returns how many jobs of a queue have not started.
@@ -181,8 +181,8 @@
             OutcomeUnknown: The cancellation may be recorded.
         """
         try:
-            found = await self.scheduler.state(job, timeout_s=QUERY_TIMEOUT_S)
-            known = found is not None or job in self.accepted
+            state = await self.scheduler.state(job, timeout_s=QUERY_TIMEOUT_S)
+            known = state is not None or job in self.accepted
         except exception.CicadafoldError as error:
             LOG.debug(
                 "The scheduler did not return a job's state: %s; the"
@@ -190,10 +190,10 @@
                 error,
             )
             known = True
-            found = None
+            state = None
         if not known:
             return False
-        if found is not None and found.final:
+        if state is not None and state.final:
             return True
         key, value = records.cancel_record(job)
         await self.record(key, value, deadline_s)
