--- a/packages/cicadafold/src/cicadafold/daemon/node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/node.py
@@ -446,7 +446,7 @@
         return any(await asyncio.gather(*probes))
 
     async def can_connect(self, address):
-        """Whether a connection to an address opens within the probe timeout."""
+        """Whether a connection to an address opens in ``PROBE_TIMEOUT_S``."""
         host, _, port = address.rpartition(":")
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
