--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -19,10 +19,10 @@
 from cicadafold.peers import peer_client
 from cicadafold.peers import scheduler_client
 from cicadafold.peers import scheduler_link
-from cicadafold.platform import advice_calls
+from cicadafold.platform import advice_client
 from cicadafold.platform import log_store
 from cicadafold.platform import registry
-from cicadafold.platform import worker_calls
+from cicadafold.platform import worker_client
 from cicadafold.telemetry import logs
 from cicadafold.telemetry import metrics
 
@@ -123,7 +123,7 @@
             first_partition=sum(settings.member.encode()),
             metrics=self.metrics,
         )
-        self.advice = advice_calls.AdviceCalls(
+        self.advice = advice_client.AdviceClient(
             session=self.peer_session, address=settings.advice_address
         )
         self.own_handle = advising.AdviceLine(
@@ -223,7 +223,7 @@
             report: Registry entry of the worker.
             fence: Term that the worker checks.
         """
-        return worker_calls.WorkerCalls(
+        return worker_client.WorkerClient(
             session=self.worker_session,
             address=report.address,
             worker=report.id,
