--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -101,12 +101,12 @@
             session=self.peer_session,
             address=settings.peer_address,
             on_claim=self.claims.apply_claim,
-            on_take_over=lambda term: self.campaign.take_over(term),
+            on_take_over=lambda term: self.candidate.take_over(term),
         )
         self.address_broadcaster = directory.AddressBroadcaster(
             peer_directory=self.peer_directory, peers=self.peers
         )
-        self.campaign = candidate.Candidate(
+        self.candidate = candidate.Candidate(
             store=self.store,
             claims=self.claims,
             member=self.member,
@@ -147,7 +147,7 @@
             children=[
                 child(name="configuration", run=self.routes.run),
                 child(name="claims", run=self.claims.run),
-                child(name="campaign", run=self.campaign.run),
+                child(name="campaign", run=self.candidate.run),
                 child(name="scheduler link", run=self.scheduler_link.run),
                 child(name="accept writer", run=self.writer.run),
             ],
@@ -193,7 +193,7 @@
             number=claim.term,
             store=self.store,
             registry=registry.RegistrySource(store=self.store),
-            make_client=self.make_calls,
+            make_client=self.make_worker_client,
             list_peers=self.peer_handles,
             configuration=self.routes,
             read_newest_claim=lambda: self.claims.read_once(wait_ms=0),
@@ -216,7 +216,7 @@
             if self.term is term:
                 self.term = None
 
-    def make_calls(self, report, fence):
+    def make_worker_client(self, report, fence):
         """Returns the client for the calls to a worker.
 
         Args:
@@ -236,7 +236,7 @@
         return [self.own_handle, *self.peers.values()]
 
     def serving_term(self):
-        """Returns the term that this process serves.
+        """Returns the term that this process serves now.
 
         Raises:
             Starting: It serves no term.
@@ -258,13 +258,13 @@
         self.peer_directory.add(
             [hello.address], [hello.address] if preferred else ()
         )
-        calls = peer_client.PeerClient(peer=peer)
+        client = peer_client.PeerClient(peer=peer)
         self.peers[peer] = advising.AdviceLine(
             member=hello.member,
-            ask=calls.advise,
+            ask=client.advise,
             election_priority=hello.strength,
-            store_age_ms=calls.store_age_ms,
-            take_over=calls.take_over,
+            store_age_ms=client.store_age_ms,
+            take_over=client.take_over,
         )
         self.address_broadcaster.schedule()
 
@@ -310,7 +310,7 @@
             await asyncio.wait({self.term_task}, timeout=HANDOVER_TIMEOUT_S)
         try:
             async with asyncio.timeout(HANDOVER_TIMEOUT_S):
-                await self.campaign.leave()
+                await self.candidate.leave()
         except TimeoutError:
             LOG.warning(
                 "Could not leave the election group in time; the store"
--- a/packages/cicadafold/src/cicadafold/daemon/node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/node.py
@@ -37,6 +37,7 @@
 CONFIRM_TIMEOUT_S = 1.0
 APPLY_TIMEOUT_S = 1.0
 PROBE_TIMEOUT_S = 0.5
+# Imported because they register the platform adapters.
 ADAPTER_MODULES = (http_adapters,)
 SKIPPED_HEADERS = (
     "Accept",
@@ -45,6 +46,7 @@
     "User-Agent",
 )
 
+# Records that show that the member they name is alive, as it writes them.
 WRITTEN_BY_MEMBER = (records.Join, records.Accept, records.Adopt)
 
 LOG = logs.get_logger("node")
