--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -57,7 +57,7 @@
         stop_requested: Event set when the process should drain and stop.
         term: ``Term`` that the process serves, or None.
         term_task: Task that serves the last term, or None.
-        peers: ``AdviceLine`` of each peer by its open ``PeerLink``.
+        peers: ``PeerHandle`` of each peer by its open ``PeerLink``.
         own_handle: The same for this process.
     """
 
@@ -126,7 +126,7 @@
         self.advice = advice_client.AdviceClient(
             session=self.peer_session, address=settings.advice_address
         )
-        self.own_handle = advising.AdviceLine(
+        self.own_handle = advising.PeerHandle(
             member=self.member,
             ask=self.advice.advise,
             election_priority=settings.election_priority,
@@ -259,7 +259,7 @@
             [hello.address], [hello.address] if preferred else ()
         )
         client = peer_client.PeerClient(peer=peer)
-        self.peers[peer] = advising.AdviceLine(
+        self.peers[peer] = advising.PeerHandle(
             member=hello.member,
             ask=client.advise,
             election_priority=hello.strength,
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -129,7 +129,7 @@
         # the way back must not move the time at which it has lapsed.
         if wait and worker.clock.updated_ms is not None:
             wait_ms = 0 if worker.unrecorded else RENEW_WAIT_MS
-            deadline_ms = worker.lease_until(self.lease.lease_ms, sent_ms)
+            deadline_ms = worker.extend_lease(self.lease.lease_ms, sent_ms)
         acknowledged = self.acknowledgement_to_send(sent_ms) if wait else 0
         found = await self.client.renew(
             acknowledged=acknowledged,
@@ -179,7 +179,7 @@
                 fields={"worker": worker.report.id, "runs": len(worker.runs)},
             )
             self.events.on_silent(worker)
-        worker.silent(now_ms, self.lease.max_lease_ms)
+        worker.mark_silent(now_ms, self.lease.max_lease_ms)
         if now_ms >= worker.lapse_at_ms and not worker.lapsed:
             worker.lapsed = True
             LOG.warning(
@@ -208,7 +208,7 @@
             self.events.on_answering(worker)
         worker.born_ms = found.born_ms
         worker.clock.update(found.clock_ms, at_ms=now_ms)
-        worker.answered()
+        worker.mark_answering()
         worker.fenced = True
         self.ends_deferred = not all(map(self.apply_end, found.ends))
         self.apply_progress(found.rows, now_ms)
@@ -228,11 +228,11 @@
             "The worker has started anew.",
             fields={"worker": worker.report.id, "born_ms": found.born_ms},
         )
-        worker.reset_counts()
+        worker.reset_end_numbers()
         self.confirmed_number = 0
         worker.deadline_ms = 0
         now_ms = clock.monotonic_ms()
-        for run in worker.take_late_orders(now_ms):
+        for run in worker.pop_unconfirmed_starts(now_ms):
             worker.add(run)
         for run in list(worker.runs.values()):
             answered = run.answered_ms is not None
@@ -241,9 +241,9 @@
                 continue
             # A late order could still be carried out in the new life, which
             # knows nothing of stops that the old one has answered.
-            if run.uncertain or run.state is State.STARTING:
-                run.state = State.DOUBTFUL
-                run.stopped_ms = None
+            if run.start_unconfirmed or run.state is State.STARTING:
+                run.state = State.UNCONFIRMED
+                run.stop_answered_ms = None
                 self.schedule_stop(run)
             else:
                 self.events.on_run_gone(worker, run, "reborn")
@@ -255,15 +255,15 @@
             Whether it is handled; if not, it and later ones come again.
         """
         worker = self.worker
-        if end.number <= worker.seen:
+        if end.number <= worker.handled_end:
             return True
         run = worker.runs.get((end.name, end.attempt))
         if run is not None:
-            run.uncertain = False
+            run.start_unconfirmed = False
         batch = self.events.on_end(worker, end, run)
         if batch is None:
             return False
-        worker.seen = end.number
+        worker.handled_end = end.number
         if run is not None:
             worker.remove(run)
         worker.unrecorded.append((end.number, batch))
@@ -276,25 +276,25 @@
             if run is None:
                 self.events.on_unexpected_run(self.worker, row)
                 continue
-            run.uncertain = False
-            if run.state in (State.STARTING, State.DOUBTFUL):
+            run.start_unconfirmed = False
+            if run.state in (State.STARTING, State.UNCONFIRMED):
                 run.state = State.RUNNING
                 run.answered_ms = now_ms
-            first = run.rated_ms is None
+            first = run.rate_measured_ms is None
             self.measure_speed(run, row, now_ms)
             run.reading = row.reading
             if first or row.percent > run.percent:
-                run.percent_ms = now_ms
+                run.progress_changed_ms = now_ms
             run.percent = row.percent
             if run.task is not None:
                 run.task.save_checkpoint(row.checkpoint, row.percent)
 
     def measure_speed(self, run, row, now_ms):
         """Takes the rate of a run's progress as one of its worker's."""
-        before_ms, before = run.rated_ms, run.percent
+        before_ms, before = run.rate_measured_ms, run.percent
         if before_ms is not None and now_ms - before_ms < MIN_MEASURED_MS:
             return
-        run.rated_ms = now_ms
+        run.rate_measured_ms = now_ms
         if before_ms is None or row.percent >= WHOLE_PERCENT:
             return
         expected_ms = self.events.expected_ms(run)
@@ -302,14 +302,17 @@
         if expected_ms is not None and not run.task.step.spec.gang:
             gained = (row.percent - before) / WHOLE_PERCENT
             rate = gained * expected_ms / (now_ms - before_ms)
-            self.worker.meter.observe(run.name.job, rate, now_ms)
+            self.worker.speed_meter.record_rate(run.name.job, rate, now_ms)
 
     def remove_missing(self, listed, sent_ms):
         """Drops runs that the worker had before this call and has not now."""
         for run in list(self.worker.runs.values()):
             if run.key in listed:
                 continue
-            if run.stopped_ms is not None and run.stopped_ms < sent_ms:
+            if (
+                run.stop_answered_ms is not None
+                and run.stop_answered_ms < sent_ms
+            ):
                 self.events.on_run_gone(self.worker, run, "stopped")
             elif (
                 run.state is State.RUNNING
@@ -332,7 +335,7 @@
             LOG.warning(
                 "A start was not answered: %s",
                 error,
-                fields=runs.run_fields(run),
+                fields=runs.run_log_fields(run),
             )
             self.on_unconfirmed_start(run, error)
             return None
@@ -341,13 +344,13 @@
             if run.state is State.STARTING:
                 run.state = State.RUNNING
             run.answered_ms = now_ms
-            if run.stop_wanted:
+            if run.stop_requested:
                 self.schedule_stop(run)
             return result
         LOG.info(
             "A start was refused: %s.",
             result.value,
-            fields=runs.run_fields(run),
+            fields=runs.run_log_fields(run),
         )
         if result is Result.FENCED:
             self.events.on_fenced(self.worker)
@@ -361,16 +364,16 @@
             self.events.on_run_gone(self.worker, run, "unreachable")
             return
         if run.state is State.STARTING:
-            run.state = State.DOUBTFUL
-            run.uncertain = True
+            run.state = State.UNCONFIRMED
+            run.start_unconfirmed = True
             self.schedule_stop(run)
 
     def schedule_stop(self, run):
         """Stops a run in a task of its own."""
-        run.stop_wanted = True
-        if run.stopping:
+        run.stop_requested = True
+        if run.stop_in_progress:
             return
-        run.stopping = True
+        run.stop_in_progress = True
         self.events.spawn(self.stop(run))
 
     async def stop(self, run):
@@ -381,7 +384,7 @@
                     return
                 await asyncio.sleep(STOP_PAUSE_S)
         finally:
-            run.stopping = False
+            run.stop_in_progress = False
 
     async def send_stop(self, run):
         """Sends a stop and returns whether it is settled."""
@@ -400,6 +403,6 @@
             return True
         if result is not Result.ACCEPTED and result is not Result.SUPERSEDED:
             return False
-        run.stopped_ms = clock.monotonic_ms()
+        run.stop_answered_ms = clock.monotonic_ms()
         run.state = State.STOPPING
         return True
