--- a/packages/cicadafold/src/cicadafold/dispatch/term.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/term.py
@@ -1,4 +1,4 @@
-"""One term of the scheduler: recovery first, then orders."""
+"""One term of the scheduler, from its recovery to its end."""
 
 import asyncio
 
@@ -28,35 +28,52 @@
 
 __all__ = ["Term", "TermEnded"]
 
+# Jobs are known without much delay while each partition of the journal was
+# read within this time.
 MAX_TAIL_AGE_S = 1.6
-# A recovery that takes longer is left to another process.
-RECOVERY_MS = 3500.0
-# Hosts follow a new term within this time.
-INHERITED_MS = 2000.0
+# A term whose recovery takes longer reports itself as degraded, so that
+# another process takes over.
+MAX_RECOVERY_MS = 3500.0
+# Time within which all entry hosts send accepted jobs to the scheduler of a
+# new term.
+INHERITED_PERIOD_MS = 2000.0
 
 LOG = logs.get_logger("term")
 
 
 class TermEnded(Exception):
-    """The term is over; the message says why."""
+    """The term has ended; the message is the reason."""
 
 
 class Term:
-    """Everything that one term of the scheduler holds.
+    """The scheduler of one term: its state, components and tasks.
 
     Args:
-        number: The term; also the fence at workers and in the journal.
+        number: Number of the term, which is also its fencing token for the
+            workers and the journal.
         store: Client of the store.
         registry: Reader of the registry of workers.
-        make_calls: Function that returns the client of a worker.
-        advice_lines: Function that returns the lines to other processes.
+        make_client: Function that returns the client of a worker, from its
+            report and the number of the term.
+        list_peers: Function that returns the handles of this process and its
+            peers.
         configuration: Holder of the newest configuration.
-        confirm: Coroutine function that reads the newest claim.
-        longest_lease_ms: Longest lease that a worker grants.
+        read_newest_claim: Coroutine function that reads the newest claim
+            from the store.
+        longest_lease_ms: Longest lease that a worker grants, in
+            milliseconds.
         status_s: Seconds for which the state of an ended job is kept.
         uses_advice: Whether there is an advice service.
-        election_priority: How well this host can carry a scheduler.
+        election_priority: Election priority of this process.
         metrics: Metrics of the process.
+
+    Attributes:
+        started_ms: Monotonic time of the start of the term, in milliseconds.
+        ready: Whether the recovery is complete and the term has not ended.
+        ended: Set once the term has to end.
+        end_reason: Why the term has to end.
+        journal_state: Content of the journal; None until it has been read.
+        job_tails: Readers of new job records, one for each partition.
     """
 
     def __init__(
@@ -135,30 +152,37 @@
         )
 
     def on_durable(self, states):
-        """Shows the states that are recorded now."""
+        """Handles that job states have become durable in the journal.
+
+        Args:
+            states: Pairs of a job and its durable state.
+        """
         self.job_table.on_durable(states)
         for job, state in states:
             if state.final:
                 self.record_cleaner.add(job.spec.id)
 
     def forget_job(self, job_id):
-        """Forgets a job that nobody asks for any more."""
+        """Removes an ended job whose retention time has passed."""
         self.job_table.forget(job_id)
         self.journal_state.remove_job(job_id)
 
     def step_down(self, reason):
-        """Ends the term for good."""
+        """Ends the term; the first reason given is kept.
+
+        Args:
+            reason: Why the term ends, for the log.
+        """
         if not self.ended.is_set():
             self.end_reason = reason
             self.ended.set()
 
     async def run(self):
-        """Runs the term until a later one begins.
-
-        Raises:
-            TermEnded: The term is over.
-        """
-        LOG.info("The term begins.", fields={"term": self.number})
+        """Runs the term until it ends."""
+        LOG.info(
+            "The term starts; recovering its state from the journal.",
+            fields={"term": self.number},
+        )
         try:
             async with asyncio.TaskGroup() as task_group:
                 self.task_group = task_group
@@ -167,7 +191,7 @@
                 task_group.create_task(self.recover_and_run())
         except* TermEnded as ended:
             LOG.info(
-                "The term ends: %s.",
+                "The term has ended: %s.",
                 ended.exceptions[0],
                 fields={"term": self.number},
             )
@@ -176,7 +200,7 @@
             self.worker_table.close()
 
     def create_components(self):
-        """Makes the parts that need the task group."""
+        """Creates and connects the components that need the task group."""
         self.events = worker_events.WorkerEventHandler(
             job_table=self.job_table,
             estimates=self.estimates,
@@ -224,12 +248,24 @@
         )
 
     async def raise_when_ended(self):
-        """Ends the task group when the term is over."""
+        """Ends the task group of the term once the term has to end.
+
+        Raises:
+            TermEnded: The term has to end.
+        """
         await self.ended.wait()
         raise TermEnded(self.end_reason)
 
     async def recover_and_run(self):
-        """Recovers what earlier terms left, then gives orders."""
+        """Recovers the state of earlier terms, then starts all loops.
+
+        Fences the journal, reads it, loads the record of workers and starts
+        the worker links. Then starts the loops that place, watch and pace
+        tasks and that clean up records.
+
+        Raises:
+            TermEnded: A later term has fenced the journal.
+        """
         spawn = self.task_group.create_task
         spawn(self.worker_table.registry.run())
         spawn(self.run_handover())
@@ -267,7 +303,7 @@
         )
         spawn(pacer.run())
         LOG.info(
-            "The term gives orders.",
+            "The term is recovered; tasks are started from now on.",
             fields={
                 "term": self.number,
                 "jobs": len(self.job_table.jobs),
@@ -278,7 +314,11 @@
         )
 
     def restore_jobs(self, state):
-        """Takes the jobs of the journal."""
+        """Adds the jobs of the journal to the table of jobs.
+
+        Args:
+            state: Content of the journal.
+        """
         for job, spec in state.specs.items():
             self.job_table.restore(
                 spec, state.progress.get(job), cancelled=job in state.cancelled
@@ -290,50 +330,58 @@
         self.record_cleaner.partitions = state.partitions
 
     async def run_handover(self):
-        """Ends the term when another process takes it over."""
+        """Ends the term once it has been handed over to a peer."""
         self.step_down(await self.handover.run())
 
     async def write_progress(self):
-        """Records progress until a later term begins."""
+        """Records the progress of jobs until a later term starts.
+
+        Raises:
+            TermEnded: A later term has fenced the journal.
+        """
         try:
             await self.journal.run()
         except exception.LogFenced as error:
             raise TermEnded("a later term has fenced the journal") from error
 
     def on_job_accepted(self, spec):
-        """Takes a job from the host that has accepted it."""
+        """Adds a job, as notified by the entry host that accepted it."""
         if self.ready and spec.id not in self.journal_state.specs:
             self.journal_state.specs[spec.id] = spec
-            # Its host follows this term, so no other scheduler knows it.
-            self.on_job_changed(spec.id, told=True)
+            # The entry host sends its jobs to this term, so the scheduler of
+            # an earlier term cannot have started this one.
+            self.on_job_changed(spec.id, from_host=True)
 
     def on_job_cancelled(self, job_id):
-        """Takes a cancelling from the host that has recorded it."""
+        """Cancels a job, as notified by the entry host that recorded it."""
         if self.ready and job_id not in self.journal_state.cancelled:
             self.journal_state.cancelled.add(job_id)
             self.on_job_changed(job_id)
 
-    def on_job_changed(self, job_id, *, told=False):
-        """Takes a new or cancelled job.
+    def on_job_changed(self, job_id, *, from_host=False):
+        """Adds or cancels a job according to its records in the journal.
 
         Args:
             job_id: Identifier of the job.
-            told: Whether the host that accepted it told this process.
+            from_host: Whether the entry host that accepted the job has
+                notified this process directly.
         """
         state = self.journal_state
         job = self.job_table.jobs.get(job_id)
         spec = state.specs.get(job_id)
         if job_id in self.job_table.ended:
-            # It came again after its end; its record is dropped again.
+            # The job was submitted again after its end. Its new record is
+            # removed too.
             self.record_cleaner.add(job_id)
             return
         if job is None and spec is not None:
-            # A host may still have told the last scheduler of it.
+            # Its entry host may have notified the scheduler of the last
+            # term, which may have started the job.
             age_ms = clock.monotonic_ms() - self.started_ms
-            inherited = not told and age_ms < INHERITED_MS
+            inherited = not from_host and age_ms < INHERITED_PERIOD_MS
             job = self.job_table.add(spec, inherited=inherited)
             LOG.info(
-                "A job is known.",
+                "A job was added.",
                 fields={
                     "request_id": job_id,
                     "queue": spec.queue,
@@ -348,10 +396,16 @@
         self.placer.wake()
 
     def job_state(self, job_id):
-        """Returns the state shown for a job, None if there is none.
+        """Returns the state of a job that callers may be shown.
+
+        Final states are returned only after they have been recorded.
+
+        Returns:
+            The state; None if there is no such job.
 
         Raises:
-            Starting: The journal is not read to its end.
+            Starting: The journal has not been read up to now, so that the
+                state of the job is not known.
         """
         if not self.ready:
             raise scheduler_client.starting_error()
@@ -372,43 +426,50 @@
         return None
 
     def jobs_up_to_date(self):
-        """Whether newly accepted jobs are known without much delay."""
+        """Whether all partitions of the journal were read recently."""
         now_s = asyncio.get_running_loop().time()
         return all(
             now_s - tail.read_at_s <= MAX_TAIL_AGE_S for tail in self.job_tails
         )
 
     def commands_allowed(self):
-        """Whether orders may be given: no stall, and no later term."""
+        """Whether the term may send commands to workers.
+
+        It may not after it has to end, and after a stall of the process
+        until the newest claim has been read.
+        """
         return (
             not self.ended.is_set() and self.stall_detector.commands_allowed()
         )
 
     def has_read_up_to(self, since_ms):
-        """Whether all jobs have been read that were recorded at a time.
+        """Whether all job records that existed at a time have been read.
 
         Args:
-            since_ms: Monotonic time in milliseconds.
+            since_ms: Monotonic time, in milliseconds.
         """
         since_s = since_ms / clock.MILLISECONDS
         return all(tail.complete_until_s > since_s for tail in self.job_tails)
 
     def health(self):
-        """Returns what this term says of itself to peers."""
+        """Returns the health of the term, as reported to peers."""
         if self.ended.is_set():
             return messages.Health.NO_TERM
         now_ms = clock.monotonic_ms()
         if self.ready:
-            well = self.jobs_up_to_date()
+            healthy = self.jobs_up_to_date()
         else:
-            well = now_ms - self.started_ms < RECOVERY_MS
-        return messages.Health.HEALTHY if well else messages.Health.DEGRADED
+            healthy = now_ms - self.started_ms < MAX_RECOVERY_MS
+        return messages.Health.HEALTHY if healthy else messages.Health.DEGRADED
 
     def pending(self, queue):
-        """Returns how many jobs of a queue have not started.
+        """Returns the number of jobs of a queue that have not started.
+
+        Args:
+            queue: Name of the queue.
 
         Raises:
-            Starting: The journal is not read to its end.
+            Starting: The journal has not been read up to now.
         """
         if not self.ready or not self.jobs_up_to_date():
             raise scheduler_client.starting_error()
