--- a/packages/cicadafold/src/cicadafold/dispatch/job_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/job_table.py
@@ -72,7 +72,7 @@
         )
         job.rule = self.rules.get(spec.queue, spec.rule)
         job.inherited = inherited
-        job.objective = self.objective(job)
+        job.objective_ms = self.objective(job)
         self.jobs[spec.id] = job
         self.active[spec.id] = job
         return job
@@ -192,7 +192,7 @@
                 "state": state.value,
                 "queue": job.spec.queue,
                 "took_ms": round(took_ms),
-                "objective_ms": round(job.objective),
+                "objective_ms": round(job.objective_ms),
             },
         )
 
--- a/packages/cicadafold/src/cicadafold/dispatch/placing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/placing.py
@@ -250,7 +250,7 @@
         waiting = ranking.WaitingStep(
             priority=job.rule.priority,
             arrived_ms=job.due_ms(step.occurrence),
-            objective_ms=job.objective,
+            objective_ms=job.objective_ms,
             remaining_ms=task_ms * (len(job.spec.steps) - step.number),
         )
         rank = self.rank(waiting, now_ms)
--- a/packages/cicadafold/src/cicadafold/dispatch/term.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/term.py
@@ -338,7 +338,7 @@
                     "request_id": job_id,
                     "queue": spec.queue,
                     "steps": len(spec.steps),
-                    "objective_ms": round(job.objective),
+                    "objective_ms": round(job.objective_ms),
                     "age_ms": round(clock.monotonic_ms() - job.arrived_ms),
                 },
             )
--- a/packages/cicadafold/src/cicadafold/dispatch/watching.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/watching.py
@@ -202,7 +202,9 @@
         "step": step.number,
         "queue": step.job.rule.name,
         "waited_ms": round(now_ms - step.ready_ms),
-        "slack_ms": round(step.job.arrived_ms + step.job.objective - now_ms),
+        "slack_ms": round(
+            step.job.arrived_ms + step.job.objective_ms - now_ms
+        ),
         "tasks": len(step.tasks),
         "waiting": sum(task.needs_start for task in step.tasks),
         "cores_milli": step.spec.reserved_resources.cores_milli,
--- a/packages/cicadafold/src/cicadafold/election/terms.py
+++ b/packages/cicadafold/src/cicadafold/election/terms.py
@@ -13,7 +13,7 @@
 CONTROL_TOPIC = "keyed.control"
 PARTITION = 0
 KEY = "scheduler"
-# Time for which the store holds a read until a claim is appended.
+# Longest time for which the store holds a read until a claim is appended.
 TAIL_WAIT_MS = 5000
 RETRY_PAUSE_S = 0.2
 
--- a/packages/cicadafold/src/cicadafold/jobs/model.py
+++ b/packages/cicadafold/src/cicadafold/jobs/model.py
@@ -244,8 +244,8 @@
         attempt: Number of the run attempt.
         checkpoint: Newest checkpoint, or empty.
         percent: Progress from 0 to 100.
-        reading: Tail latency in milliseconds of a task that provides a
-            service, or cores in use by a task that fills idle cores.
+        reading: Tail latency in milliseconds for a step with
+            ``tail_target_ms``, or cores in use.
     """
 
     name: TaskName | None
--- a/packages/cicadafold/src/cicadafold/jobs/runtime_state.py
+++ b/packages/cicadafold/src/cicadafold/jobs/runtime_state.py
@@ -184,7 +184,7 @@
         started: Whether any task of the job has been started.
         inherited: Whether a scheduler of an earlier term may have started
             tasks of the job.
-        objective: Latency objective in milliseconds, or None until set.
+        objective_ms: Latency objective in milliseconds, or None until set.
     """
 
     def __init__(self, *, spec, arrived_ms, wall_offset_ms):
@@ -198,7 +198,7 @@
         self.reported_state = model.JobState.QUEUED
         self.started = False
         self.inherited = False
-        self.objective = None
+        self.objective_ms = None
 
     def due_ms(self, occurrence):
         """Returns the monotonic time in ms at which an occurrence is due."""
@@ -217,7 +217,7 @@
             self.steps_of(number)
 
     def steps_of(self, number):
-        """Returns the steps of an occurrence, which it creates if missing."""
+        """Returns the steps of an occurrence; creates them on first use."""
         steps = self.steps.get(number)
         if steps is None:
             steps = self.steps[number] = []
