--- a/packages/cicadafold/src/cicadafold/peers/directory.py
+++ b/packages/cicadafold/src/cicadafold/peers/directory.py
@@ -217,13 +217,13 @@
                 self.peer_directory.address,
             ]
             preferred = list(self.peer_directory.preferred)
-            message = messages.Roster(known, preferred)
+            message = messages.PeerAddresses(known, preferred)
             await asyncio.gather(
                 *(peer.send_if_open(message) for peer in self.peers)
             )
 
 
-@link.handles(messages.Roster)
-async def handle_roster(node, message, _):
+@link.handles(messages.PeerAddresses)
+async def handle_peer_addresses(node, message, _):
     """Adds the addresses that the scheduler has sent."""
     node.peer_directory.add(message.addresses, message.strong)
--- a/packages/cicadafold/src/cicadafold/peers/messages.py
+++ b/packages/cicadafold/src/cicadafold/peers/messages.py
@@ -19,14 +19,14 @@
     "HealthQuery",
     "HealthReply",
     "Hello",
-    "PendingQuery",
     "JobAccepted",
     "JobCancelled",
     "Outcome",
+    "PeerAddresses",
+    "PendingQuery",
     "PendingReply",
     "RecordQuery",
     "RecordReply",
-    "Roster",
     "StateQuery",
     "StateReply",
     "TakeOver",
@@ -71,7 +71,7 @@
     job: str
 
 
-class Roster(msgspec.Struct, tag="roster"):
+class PeerAddresses(msgspec.Struct, tag="roster"):
     """Peer addresses that the scheduler knows, sent to its peers.
 
     Attributes:
@@ -267,7 +267,7 @@
 
 Message = (
     Hello
-    | Roster
+    | PeerAddresses
     | JobAccepted
     | JobCancelled
     | HealthQuery
