--- a/packages/cicadafold/src/cicadafold/dispatch/term.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/term.py
@@ -442,14 +442,14 @@
             not self.ended.is_set() and self.stall_detector.commands_allowed()
         )
 
-    def has_read_up_to(self, since_ms):
+    def has_read_up_to(self, time_ms):
         """Whether all job records that existed at a time have been read.
 
         Args:
-            since_ms: Monotonic time, in milliseconds.
+            time_ms: Monotonic time, in milliseconds.
         """
-        since_s = since_ms / clock.MILLISECONDS
-        return all(tail.complete_until_s > since_s for tail in self.job_tails)
+        time_s = time_ms / clock.MILLISECONDS
+        return all(tail.complete_until_s > time_s for tail in self.job_tails)
 
     def health(self):
         """Returns the health of the term, as reported to peers."""
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
@@ -225,7 +225,7 @@
     assert link.events.gone == [(run, "lapsed")]
 
 
-def test_member_that_has_done_its_part_does_not_stand_still(link, job):
+def test_finished_gang_member_is_not_stalled(link, job):
     """A gang member at 100 percent waits for the slower members."""
     run = add_run(link, job, State.RUNNING)
     watcher = watching.Watcher(workers={}, table=None, events=None)
@@ -254,10 +254,10 @@
         (1.0, True, 80.0, False),
     ],
 )
-def test_runs_leave_slow_and_leaving_workers(
+def test_late_runs_are_moved_from_slow_or_draining_workers(
     link, job, speed, draining, percent, moved
 ):
-    """Only what would end too late is stopped and started elsewhere."""
+    """Only run attempts that would end too late are stopped."""
     run = add_run(link, job, State.RUNNING)
     worker = link.worker
     now_ms = run.started_ms + 1000.0
--- a/packages/cicadafold/src/cicadafold/dispatch/unknown_job_runs.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/unknown_job_runs.py
@@ -14,7 +14,10 @@
 
 
 class UnknownJobRuns:
-    """Keeps run attempts of unknown jobs until their records must be read.
+    """Keeps run attempts of unknown jobs.
+
+    They are kept until the record of the job has been read, or until it is
+    certain that there is none.
 
     Args:
         has_read_up_to: Function that tells whether all job records that
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
@@ -8,7 +8,8 @@
 __all__ = ["WorkerEventHandler"]
 
 # A worker on which tasks of this many jobs have failed, without a success in
-# between, is quarantined. The quarantine doubles each time up to the maximum.
+# between, is quarantined. Each quarantine in a row takes twice as long as the
+# last one, up to the maximum.
 QUARANTINE_JOBS = 2
 QUARANTINE_MS = 2500.0
 MAX_QUARANTINE_MS = 20000.0
@@ -202,7 +203,7 @@
         return self.job_table.complete_task(task)
 
     def on_task_failed(self, worker, task, end):
-        """Counts a failure for its task, and for the worker if it may be.
+        """Counts a failure for the task, and usually for the worker as well.
 
         Returns:
             Number of the journal batch that records it, 0 if the task was
@@ -295,14 +296,14 @@
             return
         task = self.job_table.find(row.name)
         job = self.job_table.jobs.get(row.name.job)
-        room = task_resources(job, row.name, worker)
+        resources = task_resources(job, row.name, worker)
         now_ms = clock.monotonic_ms()
         run = runs.RunAttempt(
             task=task,
             name=row.name,
             attempt=row.attempt,
             worker=worker,
-            room=room,
+            room=resources,
             state=State.RUNNING,
             now_ms=now_ms,
         )
@@ -325,7 +326,7 @@
         LOG.info(
             "A run attempt of an earlier term was adopted."
             if adopted
-            else "Stopping an unknown run attempt that is not needed.",
+            else "Stopping a listed run attempt that is not needed.",
             fields={
                 "request_id": row.name.job,
                 "attempt": row.attempt,
@@ -336,7 +337,7 @@
             self.stop_run(run)
 
     def keep_unknown_run(self, worker, run, row):
-        """Keeps a run attempt until the record of its job must be read."""
+        """Keeps a run attempt until its job is known or has no record."""
         worker.add(run)
         self.unknown_runs.add(run, row)
         LOG.info(
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -22,7 +22,8 @@
 ANSWER_SLACK_S = 0.6
 COMMAND_TIMEOUT_S = 0.7
 NO_ANSWER_PAUSE_S = 0.2
-# Longest wait for the journal before the lease is renewed again.
+# Longest wait for the records of ends to become durable before the next
+# renewal.
 RECORD_WAIT_S = 0.25
 # Shortest time between two reports of progress from which a speed is
 # computed.
@@ -112,7 +113,7 @@
                 await asyncio.sleep(DEFERRED_PAUSE_S)
 
     async def wait_for_journal(self):
-        """Waits until all handled ends are recorded or a time limit ends."""
+        """Waits until all handled ends are recorded, up to a time limit."""
         try:
             async with asyncio.timeout(RECORD_WAIT_S):
                 while not self.acknowledge_recorded():
@@ -127,8 +128,8 @@
             Whether all handled ends are recorded.
         """
         worker = self.worker
-        durable = self.journal.durable_batch
-        while worker.unrecorded and worker.unrecorded[0][1] <= durable:
+        durable_batch = self.journal.durable_batch
+        while worker.unrecorded and worker.unrecorded[0][1] <= durable_batch:
             worker.acknowledged = worker.unrecorded.pop(0)[0]
         return not worker.unrecorded
 
@@ -154,17 +155,17 @@
             wait_ms = 0 if worker.unrecorded else RENEW_WAIT_MS
             deadline_ms = worker.extend_lease(self.lease.lease_ms, sent_ms)
         acknowledged = self.acknowledgement_to_send(sent_ms) if wait else 0
-        found = await self.client.renew(
+        answer = await self.client.renew(
             acknowledged=acknowledged,
             deadline_ms=deadline_ms,
             wait_ms=wait_ms,
             timeout_s=wait_ms / MILLISECONDS + ANSWER_SLACK_S,
         )
-        if isinstance(found, Result):
-            self.on_renewal_refused(found)
+        if isinstance(answer, Result):
+            self.on_renewal_refused(answer)
             return
-        self.on_inventory(found, sent_ms)
-        if found.born_ms == born_ms:
+        self.on_inventory(answer, sent_ms)
+        if answer.born_ms == born_ms:
             self.confirmed_number = max(self.confirmed_number, acknowledged)
 
     def acknowledgement_to_send(self, now_ms):
@@ -220,7 +221,7 @@
                 self.events.on_run_gone(worker, run, "lapsed")
             self.events.on_capacity_changed()
 
-    def on_inventory(self, found, sent_ms):
+    def on_inventory(self, inventory, sent_ms):
         """Applies an inventory of the worker.
 
         Args:
@@ -236,22 +237,22 @@
                 "A worker answers again.",
                 fields={"worker": worker.report.id, "silent_ms": silent_ms},
             )
-        ended = {(end.name, end.attempt) for end in found.ends}
-        listed = {(row.name, row.attempt) for row in found.rows} | ended
-        if worker.born_ms not in (None, found.born_ms):
-            self.on_new_incarnation(found, listed, sent_ms)
+        ended = {(end.name, end.attempt) for end in inventory.ends}
+        listed = {(row.name, row.attempt) for row in inventory.rows} | ended
+        if worker.born_ms not in (None, inventory.born_ms):
+            self.on_new_incarnation(inventory, listed, sent_ms)
         if not worker.fenced or worker.silent_since_ms is not None:
             self.events.on_answering(worker)
-        worker.born_ms = found.born_ms
-        worker.clock.update(found.clock_ms, at_ms=now_ms)
+        worker.born_ms = inventory.born_ms
+        worker.clock.update(inventory.clock_ms, at_ms=now_ms)
         worker.mark_answering()
         worker.fenced = True
-        self.ends_deferred = not all(map(self.apply_end, found.ends))
-        self.apply_progress(found.rows, now_ms)
+        self.ends_deferred = not all(map(self.apply_end, inventory.ends))
+        self.apply_progress(inventory.rows, now_ms)
         self.remove_missing(listed, sent_ms)
         self.events.on_capacity_changed()
 
-    def on_new_incarnation(self, found, listed, sent_ms):
+    def on_new_incarnation(self, inventory, listed, sent_ms):
         """Handles that the worker has restarted.
 
         Args:
@@ -262,8 +263,8 @@
         """
         worker = self.worker
         LOG.warning(
-            "A worker has restarted.",
-            fields={"worker": worker.report.id, "born_ms": found.born_ms},
+            "A worker has restarted; its earlier tasks are started again.",
+            fields={"worker": worker.report.id, "born_ms": inventory.born_ms},
         )
         worker.reset_end_numbers()
         self.confirmed_number = 0
@@ -323,10 +324,10 @@
             if run.state in (State.STARTING, State.UNCONFIRMED):
                 run.state = State.RUNNING
                 run.answered_ms = now_ms
-            first = run.rate_measured_ms is None
+            first_report = run.rate_measured_ms is None
             self.measure_speed(run, row, now_ms)
             run.reading = row.reading
-            if first or row.percent > run.percent:
+            if first_report or row.percent > run.percent:
                 run.progress_changed_ms = now_ms
             run.percent = row.percent
             if run.task is not None:
@@ -343,18 +344,18 @@
             row: Its entry in the inventory.
             now_ms: Monotonic time, in milliseconds.
         """
-        before_ms, before = run.rate_measured_ms, run.percent
-        if before_ms is not None and now_ms - before_ms < MIN_MEASURED_MS:
+        previous_ms, previous = run.rate_measured_ms, run.percent
+        if previous_ms is not None and now_ms - previous_ms < MIN_MEASURED_MS:
             return
         run.rate_measured_ms = now_ms
-        if before_ms is None or row.percent >= WHOLE_PERCENT:
+        if previous_ms is None or row.percent >= WHOLE_PERCENT:
             return
         expected_ms = self.events.expected_ms(run)
         # Members of a gang wait for each other, so their progress does not
         # show the speed of the worker.
         if expected_ms is not None and not run.task.step.spec.gang:
-            gained = (row.percent - before) / WHOLE_PERCENT
-            rate = gained * expected_ms / (now_ms - before_ms)
+            gained = (row.percent - previous) / WHOLE_PERCENT
+            rate = gained * expected_ms / (now_ms - previous_ms)
             self.worker.speed_meter.record_rate(run.name.job, rate, now_ms)
 
     def remove_missing(self, listed, sent_ms):
@@ -452,7 +453,7 @@
         self.events.spawn(self.stop(run))
 
     async def stop(self, run):
-        """Sends stop commands until one is answered or the run is removed."""
+        """Sends stop commands until one is answered or none is needed."""
         try:
             while run.key in self.worker.runs and not self.closed:
                 if await self.send_stop(run):
