--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -201,7 +201,7 @@
                 fields={"worker": worker.report.id, "silent_ms": silent_ms},
             )
         ended = {(end.name, end.attempt) for end in found.ends}
-        listed = {(row.name, row.attempt) for row in found.rows} | ended
+        listed = {(row.name, row.attempt) for row in found.running} | ended
         if worker.born_ms not in (None, found.born_ms):
             self.on_new_incarnation(found, listed, sent_ms)
         if not worker.fenced or worker.silent_since_ms is not None:
@@ -211,7 +211,7 @@
         worker.answered()
         worker.fenced = True
         self.ends_deferred = not all(map(self.apply_end, found.ends))
-        self.apply_progress(found.rows, now_ms)
+        self.apply_progress(found.running, now_ms)
         self.remove_missing(listed, sent_ms)
         self.events.on_capacity_changed()
 
--- a/packages/cicadafold/src/cicadafold/platform/__init__.py
+++ b/packages/cicadafold/src/cicadafold/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's services, each behind one narrow interface."""
+"""Adapters to the platform: its log, store, registry, workers and callers."""
--- a/packages/cicadafold/src/cicadafold/platform/advice_client.py
+++ b/packages/cicadafold/src/cicadafold/platform/advice_client.py
@@ -1,4 +1,4 @@
-"""Client of the service that names the workers a step may use."""
+"""HTTP client of the advice service, which grants workers to a step."""
 
 import aiohttp
 import msgspec
@@ -13,7 +13,7 @@
 
 
 class WireGrants(msgspec.Struct):
-    """Answer to a call: pairs of worker and ticket."""
+    """Answer of the advice service; ``granted`` pairs worker and ticket."""
 
     granted: list[tuple[str, str]] = []
 
@@ -22,11 +22,12 @@
 
 
 class AdviceClient:
-    """Calls to the advice service from this process.
+    """Calls the advice service.
 
     Args:
-        session: Client session.
-        address: IP number and port, or empty if there is no such service.
+        session: HTTP client session.
+        address: IP number and port of the service, or empty if the cell
+            does not use one.
     """
 
     def __init__(self, *, session, address):
@@ -34,20 +35,21 @@
         self.url = f"http://{address}/api/advise"
 
     async def advise(self, job, occurrence, step, workers, *, timeout_s):
-        """Returns the tickets of the workers that a step may use.
+        """Asks which workers a step may use.
 
         Args:
             job: Identifier of the job.
-            occurrence: Number of the occurrence.
+            occurrence: Number of the occurrence of the job.
             step: Number of the step.
-            workers: Names of the workers asked about.
+            workers: Names of the candidate workers.
             timeout_s: Seconds to wait for the answer.
 
         Returns:
-            Map from worker to ticket.
+            Map from the name of each granted worker to its ticket.
 
         Raises:
-            TargetUnreachable: There was no usable answer.
+            TargetUnreachable: The service did not answer, or not with a
+                valid list of tickets.
         """
         message = {"step": f"{job}.{occurrence}.{step}", "workers": workers}
         timeout = aiohttp.ClientTimeout(
@@ -71,7 +73,7 @@
 
 
 def failed(reason):
-    """Returns the error of a call without a usable answer."""
+    """Returns the exception for a call without a valid answer."""
     return exception.TargetUnreachable(
         message=f"The advice service did not answer: {reason}.", sent=True
     )
--- a/packages/cicadafold/src/cicadafold/platform/http_adapters.py
+++ b/packages/cicadafold/src/cicadafold/platform/http_adapters.py
@@ -1,4 +1,4 @@
-"""Adapters that speak HTTP with JSON to the platform."""
+"""Adapters of the platform's log, host list and targets for HTTP and JSON."""
 
 import aiohttp
 import msgspec
@@ -30,14 +30,20 @@
 
 @interfaces.register_adapter("log", "http")
 class HttpLogStream:
-    """One stream of the log service over HTTP."""
+    """One stream of the platform's log service over HTTP.
+
+    Args:
+        session: HTTP client session.
+        address: IP number and port of the log service.
+        stream: Name of the stream.
+    """
 
     def __init__(self, *, session, address, stream):
         self.session = session
         self.url = f"http://{address}/streams/{stream}/entries"
 
     async def append(self, body):
-        """Appends bytes and returns their offset."""
+        """Appends an entry and returns its offset."""
         timeout = aiohttp.ClientTimeout(total=APPEND_TIMEOUT_S)
         try:
             async with self.session.post(
@@ -55,7 +61,7 @@
             ) from error
 
     async def read(self, *, start, wait_ms):
-        """Reads entries from an offset on."""
+        """Reads entries, starting at an offset."""
         timeout = aiohttp.ClientTimeout(
             total=wait_ms / MILLISECONDS + READ_MARGIN_S
         )
@@ -72,7 +78,7 @@
 
 
 def refused_append(reason):
-    """Builds the error of an append that had no effect."""
+    """Returns the exception for an append that had no effect."""
     return exception.LogUnavailable(
         message=f"The log refused an append: {reason}.",
         remedy="Submit again later.",
@@ -81,7 +87,7 @@
 
 
 def unreadable_log(reason):
-    """Builds the error of a read without answer."""
+    """Returns the exception for a read without a valid answer."""
     return exception.LogUnavailable(
         message=f"The log did not answer a read: {reason}.",
         remedy="Check the log service.",
@@ -91,14 +97,19 @@
 
 @interfaces.register_adapter("hosts", "http")
 class HttpHostSource:
-    """The list of workers over HTTP."""
+    """The platform's list of workers over HTTP.
+
+    Args:
+        session: HTTP client session.
+        address: IP number and port of the service that keeps the list.
+    """
 
     def __init__(self, *, session, address):
         self.session = session
         self.url = f"http://{address}/hosts"
 
     async def list_hosts(self):
-        """Returns the list as it is shown now."""
+        """Returns the current list as ``HostEntry`` objects."""
         timeout = aiohttp.ClientTimeout(total=CONTROL_TIMEOUT_S)
         try:
             async with self.session.get(self.url, timeout=timeout) as reply:
@@ -112,10 +123,15 @@
 
 @interfaces.register_adapter("target", "http")
 class HttpTargetClient:
-    """Calls to one worker over HTTP.
+    """Calls to one target over HTTP.
+
+    ``start`` has no timeout of its own, because it is answered only when the
+    task ends. Its caller cancels it when the connection is no longer
+    answering; the next call then opens a new connection.
 
-    A call whose connection goes silent is given up by its caller, and the
-    next call opens a new connection.
+    Args:
+        session: HTTP client session.
+        address: IP number and port of the target.
     """
 
     def __init__(self, *, session, address):
@@ -128,28 +144,33 @@
         self.control_timeout = aiohttp.ClientTimeout(total=CONTROL_TIMEOUT_S)
 
     async def start(self, task):
-        """Starts a task and returns its report when it has ended."""
+        """Starts a task and returns its final report once it has ended."""
         return await self.post(self.start_url, task, self.start_timeout)
 
     async def fence(self, fence):
-        """Raises the fence and returns the inventory."""
+        """Raises the fencing token and returns the tasks on the target."""
         body = messages.FenceRequest(fence=fence)
         return await self.control("/fence", body)
 
     async def renew(self, request):
-        """Renews leases and returns the state of these tasks."""
+        """Renews leases of tasks and returns the reports of these tasks."""
         return await self.control("/leases", request)
 
     async def stop(self, task_id):
-        """Stops a task and returns its state."""
+        """Stops a task and returns its report."""
         return await self.control(f"/tasks/{task_id}/stop", None)
 
     async def control(self, path, body):
-        """Makes a short call with a bound on its time."""
+        """Makes a call that is answered within ``CONTROL_TIMEOUT_S``."""
         return await self.post(self.base + path, body, self.control_timeout)
 
     async def post(self, url, body, timeout):
-        """Posts a message and decodes the target's reply."""
+        """Posts a message and returns the target's reply.
+
+        Raises:
+            TargetRefused: The target refused the call.
+            TargetUnreachable: The target did not answer with a valid reply.
+        """
         try:
             async with self.session.post(
                 url, data=encode(body), timeout=timeout
@@ -169,7 +190,7 @@
 
 
 def unreachable(reason, *, sent):
-    """Builds the error of a call without a usable answer."""
+    """Returns the exception for a call without a valid reply."""
     return exception.TargetUnreachable(
-        message=f"The target gave no answer: {reason}.", sent=sent
+        message=f"The target did not answer: {reason}.", sent=sent
     )
--- a/packages/cicadafold/src/cicadafold/platform/interfaces.py
+++ b/packages/cicadafold/src/cicadafold/platform/interfaces.py
@@ -1,7 +1,8 @@
-"""Narrow interfaces to the platform, and the registry of adapters.
+"""Interfaces to the platform, and the registry of their adapters.
 
-The users' own bench is connected by writing one adapter for each of the
-three interfaces and registering it under a name that the settings give.
+To connect another platform, write an adapter class for each of the three
+interfaces, register it under a name, and set ``platform.adapter`` to that
+name.
 """
 
 import typing
@@ -18,11 +19,11 @@
 
 
 def register_adapter(interface, name):
-    """Registers an adapter class for an interface.
+    """Returns a decorator that registers an adapter class.
 
     Args:
         interface: ``log``, ``hosts`` or ``target``.
-        name: Name that the settings use.
+        name: Name of the adapter in the setting ``platform.adapter``.
     """
 
     def register(cls):
@@ -33,19 +34,27 @@
 
 
 def create_adapter(interface, name, **arguments):
-    """Creates the adapter that the settings name.
+    """Creates an adapter of an interface.
+
+    Args:
+        interface: ``log``, ``hosts`` or ``target``.
+        name: Name of the adapter in the setting ``platform.adapter``.
+        **arguments: Arguments of the adapter class.
 
     Raises:
-        KeyError: No adapter has this name.
+        KeyError: No adapter is registered under this name.
     """
     return ADAPTERS[(interface, name)](**arguments)
 
 
 class LogStream(typing.Protocol):
-    """One stream of the platform's append-only log."""
+    """One stream of the platform's append-only log service."""
 
     async def append(self, body):
-        """Appends bytes and returns their offset.
+        """Appends an entry and returns its offset.
+
+        Args:
+            body: The entry as bytes.
 
         Raises:
             LogUnavailable: The append was refused and had no effect.
@@ -53,7 +62,15 @@
         """
 
     async def read(self, *, start, wait_ms):
-        """Reads entries from an offset on.
+        """Reads entries, starting at an offset.
+
+        Args:
+            start: Offset of the first entry to read.
+            wait_ms: Milliseconds for which the log waits if there is no such
+                entry yet.
+
+        Returns:
+            The ``ReadReply``.
 
         Raises:
             LogUnavailable: The log did not answer.
@@ -61,27 +78,32 @@
 
 
 class HostSource(typing.Protocol):
-    """The platform's lagging list of workers."""
+    """The platform's list of workers, which lags behind their real state."""
 
     async def list_hosts(self):
-        """Returns the list as it is shown now.
+        """Returns the current list as ``HostEntry`` objects.
 
         Raises:
-            TargetUnreachable: The list did not answer.
+            TargetUnreachable: The service that keeps the list did not
+                answer.
         """
 
 
 class TargetClient(typing.Protocol):
-    """Calls to one worker; all raise TargetUnreachable, TargetRefused."""
+    """Calls to one target, which is a worker.
+
+    Each call returns a ``TargetReply``. It raises ``TargetUnreachable`` if
+    the target did not answer, and ``TargetRefused`` if it refused the call.
+    """
 
     async def start(self, task):
-        """Starts a task and returns its report when it has ended."""
+        """Starts a task and returns its final report once it has ended."""
 
     async def fence(self, fence):
-        """Raises the fence and returns the inventory."""
+        """Raises the fencing token and returns the tasks on the target."""
 
     async def renew(self, request):
-        """Renews leases and returns the state of these tasks."""
+        """Renews leases of tasks and returns the reports of these tasks."""
 
     async def stop(self, task_id):
-        """Stops a task and returns its state."""
+        """Stops a task and returns its report."""
--- a/packages/cicadafold/src/cicadafold/platform/log_store.py
+++ b/packages/cicadafold/src/cicadafold/platform/log_store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store: topics, keyed topics and groups."""
+"""HTTP client of the platform's store: keyed topics and groups."""
 
 import base64
 import json
@@ -19,29 +19,30 @@
     "ReadPage",
 ]
 
-# The store drops a connection whose answer is lost; a healthy answer takes
-# the append time and one round trip, at most a few tens of milliseconds.
+# The store drops a connection if the answer is lost. A healthy answer takes
+# one append and one round trip, at most a few tens of milliseconds.
 CALL_TIMEOUT_S = 1.5
 CONNECT_TIMEOUT_S = 0.8
 READ_MARGIN_S = 1.0
-# Time without a served call, while calls fail, after which the store is
-# taken to be out of reach; joins come a few times in it.
+# Time without a served call after which a failing store is unreachable; a
+# process joins its group a few times within it.
 UNREACHABLE_AFTER_MS = 1000.0
-# Sooner, a scheduler asks its peers whether they are served.
+# After this time the scheduler asks its peers whether the store serves them.
 FAILING_AFTER_MS = 250.0
 JOIN_TIMEOUT_S = 0.7
-# Wait for an append: some times the mean of the last ones, within bounds; a
-# healthy one takes some tens of milliseconds, callers wait about 3 s.
+# Timeout of an append: a multiple of the mean duration, within limits. A
+# healthy append takes some tens of milliseconds; callers wait about 3 s.
 APPEND_TIMEOUT_FACTOR = 4.0
 MIN_APPEND_TIMEOUT_S = 0.8
 MAX_APPEND_TIMEOUT_S = 2.4
+# Weight of the newest append in the exponential moving average.
 APPEND_MEAN_WEIGHT = 0.3
 MILLISECONDS = 1000
 STATUS_OK = 200
 STATUS_CONFLICT = 409
 STATUS_GONE = 410
 STATUS_PRECONDITION_FAILED = 412
-# Refusals after which nothing was done, by the platform's rules.
+# With these statuses the platform guarantees that the call had no effect.
 STATUS_REFUSED = (400, 403, 429, 503, 507)
 JSON_TYPE = {"Content-Type": "application/json"}
 
@@ -49,18 +50,18 @@
 
 
 class AppendResult(msgspec.Struct, frozen=True):
-    """Where an append went: offset of the first record, and the end."""
+    """Offset of the first appended record, and the partition's new end."""
 
     offset: int
     end: int
 
 
 class ReadPage(msgspec.Struct, frozen=True):
-    """Records of a keyed topic from an offset on.
+    """Consecutive records of a keyed topic.
 
     Attributes:
         end: Offset at which the partition ends.
-        entries: Pairs of key and value; no value drops the key.
+        entries: Pairs of key and value; an empty value deletes the key.
     """
 
     end: int
@@ -76,11 +77,11 @@
 
 
 class Membership(msgspec.Struct, frozen=True):
-    """What a member of a group holds.
+    """Membership of a process in a group.
 
     Attributes:
         generation: Number of the group's last change.
-        held: Topic and partition pairs that belong to the member.
+        assigned: Pairs of topic and partition assigned to the process.
     """
 
     generation: int
@@ -88,19 +89,19 @@
 
 
 class LogStore:
-    """The platform's store over HTTP.
+    """Calls the platform's store. All times are in milliseconds.
 
     Args:
-        session: Client session, whose connections are kept open.
+        session: HTTP client session, which keeps its connections open.
         address: IP number and port of the store.
-        metrics: Where calls are counted.
+        metrics: Metrics that count the calls and their failures.
 
     Attributes:
-        failed_ms: Monotonic time of the last call that failed.
-        answered_ms: Monotonic time of the last call that was served.
-        failing_since_ms: Monotonic time at which the first call began that
-            failed after the last one served.
-        append_ms: Mean duration of the last appends.
+        last_failed_ms: Monotonic time of the last call that failed.
+        last_served_ms: Monotonic time of the last answer but a refusal.
+        failing_since_ms: Monotonic time at which the first call started
+            that failed after the last served one.
+        mean_append_ms: Moving average of the duration of an append.
     """
 
     def __init__(self, *, session, address, metrics):
@@ -122,21 +123,20 @@
         writer=None,
         timeout_s=None,
     ):
-        """Appends entries to a keyed topic, all or none.
+        """Appends entries to a keyed topic, all or none of them.
 
         Args:
             topic: Name of the topic.
             partition: Number of the partition.
-            entries: Pairs of key and value; no value drops the key, and
-                no entry at all only sets the writer's epoch.
+            entries: Pairs of key and value. An empty value deletes the
+                key; no entry at all only sets the writer's epoch.
             at: Offset at which the partition must end, or None.
-            writer: Name, epoch and sequence of the writer, or None.
-            timeout_s: Seconds to wait for the answer; None waits as long
-                as the last appends suggest.
+            writer: Name, epoch and sequence number of the writer, or None.
+            timeout_s: Timeout; None means ``append_timeout_s``.
 
         Raises:
             LogUnavailable: Nothing was appended.
-            LinkLost: The entries may have been appended, or may be later.
+            LinkLost: The entries may have been appended, or still may be.
             LogFenced: A writer with a higher epoch has appended.
             LogEndMoved: The partition does not end at ``at``.
             LogOutOfSequence: The writer's last append was another one.
@@ -146,7 +146,7 @@
             query["at"] = at
         if writer is not None:
             query["producer"], query["epoch"], query["sequence"] = writer
-        begun_ms = clock.monotonic_ms()
+        started_ms = clock.monotonic_ms()
         try:
             status, body = await self.call(
                 "POST",
@@ -159,9 +159,9 @@
                 timeout_s=timeout_s or self.append_timeout_s,
             )
         finally:
-            took_ms = clock.monotonic_ms() - begun_ms
+            duration_ms = clock.monotonic_ms() - started_ms
             self.mean_append_ms += APPEND_MEAN_WEIGHT * (
-                took_ms - self.mean_append_ms
+                duration_ms - self.mean_append_ms
             )
         answer = parse_object(body)
         if status == STATUS_OK:
@@ -189,11 +189,15 @@
         max_kb=1024,
         read_margin_s=READ_MARGIN_S,
     ):
-        """Reads records from an offset on.
+        """Reads records, starting at an offset.
+
+        The store waits up to ``wait_ms`` for a record; the call times out
+        ``read_margin_s`` later.
 
         Raises:
-            LogUnavailable: The store did not answer.
-            LogTrimmed: The records have been deleted.
+            LogUnavailable: The store refused or could not be reached.
+            LinkLost: The store did not answer.
+            LogTrimmed: The store has deleted the records.
         """
         query = {
             "topic": topic,
@@ -222,10 +226,11 @@
         """Reads the newest record of each key of a partition.
 
         Returns:
-            The records, and the offset from which a tail goes on.
+            The records, and the offset from which to read on.
 
         Raises:
-            LogUnavailable: The store did not answer.
+            LogUnavailable: The store refused or could not be reached.
+            LinkLost: The store did not answer.
         """
         records = []
         resume = None
@@ -235,18 +240,21 @@
             if status != STATUS_OK:
                 raise unexpected("read of the newest records", status)
             answer = parse_object(body)
-            # Pages are no snapshot: the tail starts at the first one's end.
+            # Pages are not a snapshot: read on from the first one's end.
             if resume is None:
                 resume = int(answer.get("end", 0))
             items = answer.get("items") or []
             records.extend(filter(None, map(newest_record, items)))
             if not answer.get("hasMore") or not items:
                 return records, resume
-            # The field names the key after which the next page begins.
+            # ``dependsOn`` is the key after which the next page starts.
             query["dependsOn"] = items[-1]["key"]
 
     async def join(self, group, member, topic, *, ttl_ms, generation):
-        """Joins a group, or stays in it, and returns the membership."""
+        """Joins a group, or renews the membership for ``ttl_ms``.
+
+        The store assigns the partitions of the topic to the members.
+        """
         message = {
             "group": group,
             "member": member,
@@ -267,7 +275,7 @@
         )
 
     async def leave(self, group, member):
-        """Leaves a group, so that others need not wait."""
+        """Leaves a group before its membership expires."""
         message = {"group": group, "member": member}
         status, _ = await self.call("POST", "log-leave", message=message)
         if status != STATUS_OK:
@@ -283,11 +291,11 @@
         data=None,
         timeout_s=CALL_TIMEOUT_S,
     ):
-        """Makes a call and returns status and body.
+        """Makes a call and returns the HTTP status and body of the answer.
 
         Raises:
-            LogUnavailable: The store refused, or nothing was sent.
-            LinkLost: The call may have been executed.
+            LogUnavailable: The call had no effect.
+            LinkLost: The store may have executed the call.
         """
         headers = None
         if message is not None:
@@ -299,7 +307,7 @@
         timeout = aiohttp.ClientTimeout(
             total=timeout_s, connect=CONNECT_TIMEOUT_S
         )
-        begun_ms = clock.monotonic_ms()
+        started_ms = clock.monotonic_ms()
         self.metrics.count("store_calls", call=name)
         try:
             async with self.session.request(
@@ -311,38 +319,38 @@
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
         ) as error:
-            self.record_failure(name, begun_ms)
+            self.record_failure(name, started_ms)
             raise unavailable(name, repr(error)) from error
         except TRANSPORT_ERRORS as error:
-            self.record_failure(name, begun_ms)
+            self.record_failure(name, started_ms)
             raise exception.LinkLost(
-                message=f"The store's answer to {name} was lost: {error!r}.",
+                message=f"The store did not answer {name}: {error!r}.",
                 remedy="Repeat the call; records carry their keys.",
             ) from error
         if status in STATUS_REFUSED:
-            self.record_failure(name, begun_ms)
+            self.record_failure(name, started_ms)
             raise unavailable(name, f"status {status}")
         self.last_served_ms = clock.monotonic_ms()
         return status, body
 
     @property
     def append_timeout_s(self):
-        """Seconds to wait for an append.
+        """Seconds to wait for the answer to an append.
 
-        An append that is given up is executed all the same, and its
-        repetition makes a slow store slower; so a slow store is waited for.
+        The store executes an append even after its timeout, and repeated
+        appends slow it down further; so a slow store gets a longer timeout.
         """
         wanted_s = APPEND_TIMEOUT_FACTOR * self.mean_append_ms / MILLISECONDS
         return min(MAX_APPEND_TIMEOUT_S, max(MIN_APPEND_TIMEOUT_S, wanted_s))
 
     @property
     def since_served_ms(self):
-        """Time since the last served call, in milliseconds."""
+        """Milliseconds since the last served call."""
         return clock.monotonic_ms() - self.last_served_ms
 
     @property
     def failing(self):
-        """Whether the last call failed and none was served for a while."""
+        """Whether calls fail and none was served for ``FAILING_AFTER_MS``."""
         return (
             self.last_failed_ms > self.last_served_ms
             and self.since_served_ms > FAILING_AFTER_MS
@@ -350,21 +358,21 @@
 
     @property
     def reachable(self):
-        """Whether the store serves this process, as far as known."""
+        """Whether the store is believed to serve this process."""
         if self.last_failed_ms < self.last_served_ms:
             return True
         return self.since_served_ms < UNREACHABLE_AFTER_MS
 
-    def record_failure(self, name, begun_ms):
-        """Notes that the store did not do what was asked."""
+    def record_failure(self, name, started_ms):
+        """Records the time of a failed call and counts it."""
         if self.last_failed_ms < self.last_served_ms:
-            self.failing_since_ms = begun_ms
+            self.failing_since_ms = started_ms
         self.last_failed_ms = clock.monotonic_ms()
         self.metrics.count("store_failures", call=name)
 
 
 def parse_object(body):
-    """Returns the JSON object of a body, or an empty one if unreadable."""
+    """Decodes a JSON object; returns an empty one if that fails."""
     try:
         found = json.loads(body)
     except ValueError:
@@ -373,7 +381,7 @@
 
 
 def expected_sequence(answer):
-    """Returns the sequence number that a refusal names, or -1."""
+    """Returns the sequence number in a refusal, -1 if it has none."""
     for name in ("sequence", "expected", "seq"):
         if isinstance(answer.get(name), int):
             return answer[name]
@@ -381,7 +389,7 @@
 
 
 def newest_record(item):
-    """Decodes an item of a list of newest records, None if damaged."""
+    """Decodes a listed record; returns None if its fields are not valid."""
     try:
         return NewestRecord(
             item["key"],
@@ -393,16 +401,16 @@
 
 
 def unavailable(name, reason):
-    """Returns the error of a call that had no effect."""
+    """Returns the exception for a call that had no effect."""
     return exception.LogUnavailable(
-        message=f"The store did not take {name}: {reason}.",
+        message=f"The store did not execute {name}: {reason}.",
         remedy="Try again after a pause.",
     )
 
 
-def unexpected(what, status):
-    """Returns the error of an answer that no page describes."""
+def unexpected(operation, status):
+    """Returns the exception for a status that the API does not define."""
     return exception.LogUnavailable(
-        message=f"The {what} was answered with status {status}.",
+        message=f"The {operation} was answered with status {status}.",
         remedy="Check the store's version.",
     )
--- a/packages/cicadafold/src/cicadafold/platform/record_codec.py
+++ b/packages/cicadafold/src/cicadafold/platform/record_codec.py
@@ -1,4 +1,4 @@
-"""Binary framing of the records in the platform's log."""
+"""Binary encoding of records in the calls to the platform's store."""
 
 import struct
 
@@ -9,12 +9,14 @@
     "decode_records",
 ]
 
+# Length of a record in bytes, before the record.
 LENGTH = struct.Struct(">I")
+# End and first retained offset of the partition, before the records.
 BOUNDS = struct.Struct(">QQ")
 
 
 def encode_records(records):
-    """Returns the body of an append.
+    """Encodes records as the body of an append.
 
     Examples:
         >>> encode_records([b"ab"])
@@ -28,14 +30,15 @@
 
 
 def decode_records(body):
-    """Splits the body of a read.
+    """Decodes the body of the answer to a read.
 
     Args:
-        body: Two bounds of 8 bytes, then records with their lengths.
+        body: Two offsets of 8 bytes, then each record after its length.
 
     Returns:
-        End of the partition, first retained offset, list of records. A
-        record that is cut off at the end is left out.
+        Tuple of the offset at which the partition ends, the first offset
+        that it retains, and the list of records. A record that is truncated
+        at the end of the body is left out.
     """
     end, first = BOUNDS.unpack_from(body)
     records = []
@@ -51,7 +54,11 @@
 
 
 def encode_keyed_record(key, value=b""):
-    """Returns a record of a keyed topic; no value drops the key.
+    """Encodes a record of a keyed topic.
+
+    Args:
+        key: Key of the record, at most 255 bytes in UTF-8.
+        value: Value of the key; an empty one deletes the key.
 
     Examples:
         >>> encode_keyed_record("a", b"bc")
@@ -62,7 +69,7 @@
 
 
 def decode_keyed_record(record):
-    """Splits a record of a keyed topic into key and value.
+    """Decodes a record of a keyed topic into its key and value.
 
     Examples:
         >>> decode_keyed_record(b"\\x01abc")
--- a/packages/cicadafold/src/cicadafold/platform/wire.py
+++ b/packages/cicadafold/src/cicadafold/platform/wire.py
@@ -1,43 +1,52 @@
-"""Decodes the platform's documents into the project's own types."""
+"""Converts between the platform's JSON documents and the model's types."""
 
 import msgspec
 
 from cicadafold.jobs import model
 
 __all__ = [
+    "format_task_name",
+    "job_document",
     "parse_configuration",
-    "parse_end",
+    "parse_end_report",
     "parse_host_report",
-    "job_document",
     "parse_job",
-    "parse_task_row",
-    "format_task_name",
+    "parse_run_report",
 ]
 
-LARGEST_COUNT = 100_000
-LARGEST_AMOUNT = 1 << 40
-# Unix time in milliseconds fits, with intervals of any length.
-LARGEST_TIME_MS = 1 << 53
-DEFAULT_BODY_BYTES = 262_144
+MAX_COUNT = 100_000
+MAX_AMOUNT = 1 << 40
+# Large enough for any Unix time in milliseconds and any interval.
+MAX_TIME_MS = 1 << 53
+DEFAULT_MAX_BODY_BYTES = 262_144
+
 
+class WireResources(msgspec.Struct):
+    """Resources that a task needs or a worker offers.
 
-class WireNeed(msgspec.Struct):
-    """An amount of room: ``cpu`` is in thousandths of a core."""
+    ``cpu`` is in thousandths of a core, ``gpu`` counts accelerators.
+    """
 
     cpu: int = 0
     memMb: int = 0  # noqa: N815
     gpu: int = 0
 
     def resources(self):
-        """Returns the amount in the project's type."""
+        """Returns the resources in the type of the model."""
         return model.Resources(self.cpu, self.memMb, self.gpu)
 
 
-class WireStep(WireNeed):
-    """A step of a submitted job.
+class WireStep(WireResources):
+    """A step of a submitted job; ``model.StepSpec`` explains its fields.
 
-    ``affinity`` names a rack, ``maxPerServer`` bounds tasks on a worker,
-    ``fills`` takes the cores out of the count against the capacity.
+    Attributes:
+        count: Number of equal tasks.
+        affinity: Name of the rack that holds the data, or empty.
+        maxPerServer: Most tasks of the step on one worker; 0 means no limit.
+        targetMs: Limit of the tail latency that the tasks serve.
+        fills: Whether the tasks only use idle cores; their cores then do
+            not count against the worker's capacity.
+        mayMiss: Number of tasks that may be made unavailable at a time.
     """
 
     count: int = 1
@@ -58,7 +67,11 @@
 
 
 class WireJob(msgspec.Struct):
-    """A submitted job; ``spec`` is the text handed to the tasks."""
+    """A submitted job.
+
+    ``spec`` is the payload of each task, ``repeats`` the number of
+    occurrences: 0 means one, due at once.
+    """
 
     steps: list[WireStep]
     spec: str = ""
@@ -68,7 +81,10 @@
 
 
 class WireAdvice(msgspec.Struct):
-    """Cost of a call for advice."""
+    """Cost of a call to the advice service, in total and for each worker.
+
+    ``validMs`` is the time for which a ticket is valid.
+    """
 
     decideMs: float = 0  # noqa: N815
     eachMs: float = 0  # noqa: N815
@@ -76,7 +92,16 @@
 
 
 class WireRoute(msgspec.Struct):
-    """A route, which is a queue; ``service`` names the pool."""
+    """A queue, which the platform calls a route.
+
+    Attributes:
+        host: Host name that the callers address.
+        service: Name of the pool of workers.
+        priority: Rank of the queue; 0 comes first.
+        maxAttempts: Failed run attempts of a task after which its job fails.
+        stretch: Factor on the job's critical path in the latency objective.
+        targetLatencyMs: Constant part of the latency objective.
+    """
 
     name: str
     host: str
@@ -90,7 +115,11 @@
 
 
 class WireService(msgspec.Struct):
-    """A service, which is a pool of workers."""
+    """A pool of workers, which the platform calls a service.
+
+    ``admissionCheck`` tells whether its workers reject tasks that exceed
+    their free capacity, ``standby`` whether its hosts are switched off.
+    """
 
     name: str
     admissionCheck: bool = False  # noqa: N815
@@ -98,13 +127,13 @@
 
 
 class WireLimits(msgspec.Struct):
-    """Limits of the callers' connections."""
+    """Limits of the calls of callers; ``maxBodyBytes`` is in bytes."""
 
-    maxBodyBytes: int = DEFAULT_BODY_BYTES  # noqa: N815
+    maxBodyBytes: int = DEFAULT_MAX_BODY_BYTES  # noqa: N815
 
 
 class WireConfiguration(msgspec.Struct):
-    """The configuration document."""
+    """The configuration that the operators publish."""
 
     version: int
     routes: list[WireRoute] = []
@@ -113,12 +142,22 @@
 
 
 class WireServer(msgspec.Struct):
-    """A worker's entry; ``sequence`` counts its reports."""
+    """A worker's entry in the registry.
+
+    Attributes:
+        service: Name of the worker's pool.
+        zone: Failure domain.
+        labels: Labels; one of them names the rack.
+        born: Unix time in milliseconds at which this incarnation started.
+        sequence: Number of the report within the incarnation.
+        remainingMs: While draining, the least number of milliseconds until
+            the worker stops.
+    """
 
     service: str
     address: str
     state: str
-    capacity: WireNeed
+    capacity: WireResources
     zone: str = ""
     labels: list[str] = []
     born: int = 0
@@ -130,14 +169,22 @@
 decode_configuration = msgspec.json.Decoder(WireConfiguration).decode
 decode_server = msgspec.json.Decoder(WireServer).decode
 
+# Whether a worker in this state is draining.
 STATES = {"ready": False, "draining": True}
 
 
 def parse_job(body, *, job, rule, accepted_ms, waited_ms=0):
-    """Decodes a submitted job.
+    """Decodes and checks a submitted job.
+
+    Args:
+        body: JSON text of the job.
+        job: Identifier of the job.
+        rule: Rule of the queue of the job.
+        accepted_ms: Unix time of the acceptance in milliseconds.
+        waited_ms: Milliseconds that the call had waited before.
 
     Raises:
-        ValueError: The body is no valid job; the message says why.
+        ValueError: The body is not a valid job; the message says why.
     """
     found = decode_job(body)
     if not found.steps:
@@ -146,9 +193,9 @@
         parse_step(number, step) for number, step in enumerate(found.steps)
     )
     numbers = (found.repeats, found.firstRunMs, found.intervalMs)
-    if not all(0 <= number < LARGEST_TIME_MS for number in numbers):
+    if not all(0 <= number < MAX_TIME_MS for number in numbers):
         raise ValueError("the schedule is out of range")
-    if found.repeats > LARGEST_COUNT:
+    if found.repeats > MAX_COUNT:
         raise ValueError("repeats is out of range")
     return model.JobSpec(
         id=job,
@@ -164,7 +211,7 @@
 
 
 def job_document(job_file):
-    """Returns a job file as the document that a caller sends."""
+    """Converts a job file to the document that a caller submits."""
     return WireJob(
         steps=[wire_step(step.spec()) for step in job_file.step],
         spec=job_file.payload,
@@ -175,7 +222,7 @@
 
 
 def wire_step(step):
-    """Returns a step in the platform's words."""
+    """Converts a step to the form that the platform uses."""
     return WireStep(
         cpu=step.need.cores_milli,
         memMb=step.need.memory_mb,
@@ -199,7 +246,11 @@
 
 
 def parse_step(number, step):
-    """Checks one step and returns it in the project's type."""
+    """Checks a submitted step and returns it as ``StepSpec``.
+
+    Raises:
+        ValueError: A field is out of range; the message names the step.
+    """
     amounts = (
         step.cpu,
         step.memMb,
@@ -209,9 +260,9 @@
         step.maxPerServer,
         step.mayMiss,
     )
-    if not 1 <= step.count <= LARGEST_COUNT:
+    if not 1 <= step.count <= MAX_COUNT:
         raise ValueError(f"step {number}: count is out of range")
-    if not all(0 <= amount < LARGEST_AMOUNT for amount in amounts):
+    if not all(0 <= amount < MAX_AMOUNT for amount in amounts):
         raise ValueError(f"step {number}: an amount is out of range")
     if not all(0 <= earlier < number for earlier in step.dependsOn):
         raise ValueError(f"step {number}: dependsOn names no earlier step")
@@ -236,10 +287,10 @@
 
 
 def parse_configuration(body):
-    """Decodes the configuration document.
+    """Decodes the configuration that the operators publish.
 
     Raises:
-        ValueError: The document is damaged.
+        ValueError: The document is not valid.
     """
     found = decode_configuration(body)
     queues = {route.name: parse_queue_rule(route) for route in found.routes}
@@ -255,7 +306,7 @@
 
 
 def parse_queue_rule(route):
-    """Returns a route as a queue."""
+    """Converts a route to the rule of a queue."""
     advice = None
     if route.advice is not None:
         advice = model.AdviceCost(
@@ -275,10 +326,11 @@
 
 
 def parse_host_report(worker, value):
-    """Decodes a worker's entry.
+    """Decodes a worker's entry in the registry.
 
     Returns:
-        The report, or None if the entry is damaged or its state unknown.
+        The ``HostReport`` of the worker, or None if the entry cannot be
+        decoded or its state is unknown.
     """
     try:
         found = decode_server(value)
@@ -302,7 +354,7 @@
 
 
 def format_task_name(name):
-    """Returns a task's name as the workers spell it.
+    """Formats the name of a task as the workers expect it.
 
     Examples:
         >>> format_task_name(model.TaskName("ab", 0, 1, 17))
@@ -312,7 +364,7 @@
 
 
 def parse_task_name(text):
-    """Parses a task's name, None if it is none of ours."""
+    """Parses the name of a task; returns None for a name of another form."""
     parts = text.split(".")
     if len(parts) != 4 or not all(part.isdigit() for part in parts[1:]):
         return None
@@ -321,8 +373,11 @@
     )
 
 
-def parse_task_row(row):
-    """Decodes a row of the running tasks."""
+def parse_run_report(row):
+    """Decodes a row of a worker's list of running attempts.
+
+    Its items are the fields of ``RunReport``; the last one is optional.
+    """
     reading = float(row[4]) if len(row) > 4 else 0.0
     return model.RunReport(
         parse_task_name(row[0]),
@@ -333,8 +388,11 @@
     )
 
 
-def parse_end(row):
-    """Decodes a row of the finished runs."""
+def parse_end_report(row):
+    """Decodes a row of a worker's list of ended run attempts.
+
+    Its items are the fields of ``EndReport``; the last one is optional.
+    """
     return model.EndReport(
         int(row[0]),
         parse_task_name(row[1]),
--- a/packages/cicadafold/src/cicadafold/platform/worker_client.py
+++ b/packages/cicadafold/src/cicadafold/platform/worker_client.py
@@ -1,4 +1,4 @@
-"""Client of the workers: starts, stops, leases and the lists of runs."""
+"""HTTP client of a worker: run attempts, leases and the worker's inventory."""
 
 import enum
 import json
@@ -10,7 +10,7 @@
 from cicadafold.jobs import model
 from cicadafold.platform import wire
 
-__all__ = ["Inventory", "StartCommand", "CommandResult", "WorkerClient"]
+__all__ = ["CommandResult", "Inventory", "StartCommand", "WorkerClient"]
 
 CONNECT_TIMEOUT_S = 0.5
 MILLISECONDS = 1000
@@ -19,24 +19,27 @@
 STATUS_MISDIRECTED = 421
 STATUS_UNHEALTHY = (429, 503)
 HEADERS = {"Content-Type": "application/json"}
+# Names the worker that the call is meant for; another one answers with 421.
 EXPECT_HEADER = "Cicadafold-Expect-Instance"
 
 encode = msgspec.json.encode
 
 
 class CommandResult(enum.Enum):
-    """Answer to an order.
+    """Answer of a worker to a command.
 
     Attributes:
-        TAKEN: The order was carried out.
-        FENCED: A scheduler with a higher fence has called.
-        SUPERSEDED: The attempt is not higher than one stopped there.
-        TOO_LATE: Its deadline has passed.
-        NO_ROOM: The worker has no room.
-        NO_TICKET: The ticket is missing or has expired.
-        OTHER_LIFE: The worker has been replaced.
-        UNHEALTHY: The worker does nothing at the moment.
-        MALFORMED: The worker could not read the order.
+        ACCEPTED: The worker has executed the command.
+        FENCED: A scheduler with a higher fencing token has called the
+            worker.
+        SUPERSEDED: The attempt number is not higher than that of a run
+            attempt which was stopped on the worker.
+        DEADLINE_PASSED: The deadline of the command has passed.
+        NO_CAPACITY: The worker has too little free capacity.
+        INVALID_TICKET: The ticket is missing or has expired.
+        WRONG_WORKER: Another worker now answers at this address.
+        UNHEALTHY: The worker executes no commands at the moment.
+        MALFORMED: The worker could not decode the command.
     """
 
     ACCEPTED = "taken"
@@ -51,15 +54,16 @@
 
 
 class StartCommand(msgspec.Struct, frozen=True):
-    """What a start says besides the fence.
+    """Command to start a run attempt, without the fencing token.
 
     Attributes:
-        name: Task.
-        attempt: Number of the run.
-        payload: Text that the caller gave for the tasks.
-        deadline_ms: End of the lease on the worker's clock.
-        checkpoint: Saved progress to resume from, or empty.
-        ticket: Permission of the queue's policy, or empty.
+        name: Name of the task.
+        attempt: Number of the run attempt.
+        payload: Text that the caller submitted for the tasks of the job.
+        deadline_ms: End of the lease, in milliseconds on the worker's clock.
+        checkpoint: Checkpoint to resume from, or empty.
+        ticket: Ticket of the advice service that allows the task on this
+            worker, or empty.
     """
 
     name: model.TaskName
@@ -71,30 +75,31 @@
 
 
 class Inventory(msgspec.Struct, frozen=True):
-    """What a worker runs, and which ends are not acknowledged.
+    """Run attempts on a worker, running or ended but not acknowledged.
 
     Attributes:
-        clock_ms: The worker's clock.
-        born_ms: Unix time in milliseconds of the start of its life.
-        rows: Running tasks.
-        ends: Unacknowledged ends, oldest first.
+        clock_ms: Reading of the worker's clock in milliseconds.
+        born_ms: Unix time in milliseconds at which this incarnation of the
+            worker started.
+        running: Reports of the running attempts.
+        ends: End reports that are not acknowledged yet, oldest first.
     """
 
     clock_ms: int
     born_ms: int
-    rows: list[model.RunReport]
+    running: list[model.RunReport]
     ends: list[model.EndReport]
 
 
 class WorkerClient:
-    """Calls to one worker under one fence.
+    """Sends the commands of one term of the scheduler to one worker.
 
     Args:
-        session: Client session shared by all workers.
+        session: HTTP client session, shared by the clients of all workers.
         address: IP number and port of the worker.
-        worker: Name of the worker, sent with each order.
-        fence: Term of the scheduler.
-        metrics: Where calls are counted.
+        worker: Name of the worker, sent with each call.
+        fence: Fencing token, which is the term of the scheduler.
+        metrics: Metrics that count the calls and their failures.
     """
 
     def __init__(self, *, session, address, worker, fence, metrics):
@@ -105,29 +110,48 @@
         self.metrics = metrics
         self.headers = HEADERS | {EXPECT_HEADER: worker}
 
-    async def start(self, order, *, timeout_s):
-        """Starts a run.
+    async def start(self, command, *, timeout_s):
+        """Starts a run attempt.
+
+        Args:
+            command: The ``StartCommand``.
+            timeout_s: Seconds to wait for the answer.
+
+        Returns:
+            The ``CommandResult``.
 
         Raises:
-            TargetUnreachable: No answer; ``sent`` tells whether the order
-                may still be carried out.
+            TargetUnreachable: The worker did not answer; ``sent`` says
+                whether it may still execute the command.
         """
         message = {
-            "task": wire.format_task_name(order.name),
-            "attempt": order.attempt,
-            "spec": order.payload,
-            "deadlineMs": order.deadline_ms,
+            "task": wire.format_task_name(command.name),
+            "attempt": command.attempt,
+            "spec": command.payload,
+            "deadlineMs": command.deadline_ms,
             "fence": self.fence,
         }
-        if order.checkpoint:
-            message["checkpoint"] = order.checkpoint
-        if order.ticket:
-            message["ticket"] = order.ticket
+        if command.checkpoint:
+            message["checkpoint"] = command.checkpoint
+        if command.ticket:
+            message["ticket"] = command.ticket
         status, body = await self.call("run-start", message, timeout_s)
         return command_result(status, body)
 
     async def stop(self, name, attempt, *, timeout_s):
-        """Stops a run; one that is not there yet will be rejected."""
+        """Stops a run attempt and returns the ``CommandResult``.
+
+        If the start command arrives at the worker only after this call, the
+        worker rejects it.
+
+        Args:
+            name: Name of the task.
+            attempt: Number of the run attempt.
+            timeout_s: Seconds to wait for the answer.
+
+        Raises:
+            TargetUnreachable: The worker did not answer.
+        """
         message = {
             "task": wire.format_task_name(name),
             "attempt": attempt,
@@ -137,7 +161,17 @@
         return command_result(status, body)
 
     async def pace(self, name, attempt, percent, *, timeout_s):
-        """Lets a run work at a share of its speed, 0 to 100."""
+        """Sets the speed of a run attempt and returns the ``CommandResult``.
+
+        Args:
+            name: Name of the task.
+            attempt: Number of the run attempt.
+            percent: Share of its full speed, from 0 to 100.
+            timeout_s: Seconds to wait for the answer.
+
+        Raises:
+            TargetUnreachable: The worker did not answer.
+        """
         message = {
             "task": wire.format_task_name(name),
             "attempt": attempt,
@@ -148,16 +182,24 @@
         return command_result(status, body)
 
     async def renew(self, *, acknowledged, deadline_ms, wait_ms, timeout_s):
-        """Renews the lease of all runs and returns the inventory.
+        """Renews the lease of all run attempts and returns the inventory.
 
         Args:
-            acknowledged: Ends up to this number may be forgotten.
-            deadline_ms: New end of the lease, None to leave it.
-            wait_ms: How long the worker waits for an end.
+            acknowledged: The worker may delete the end reports up to this
+                number.
+            deadline_ms: New end of the lease in milliseconds on the
+                worker's clock; None leaves the lease unchanged.
+            wait_ms: Milliseconds for which the worker waits for an end of a
+                run attempt before it answers.
             timeout_s: Seconds to wait for the answer.
 
         Returns:
-            The inventory, or the ``CommandResult`` of a refusal.
+            The ``Inventory``, or a ``CommandResult`` if the worker refused
+            the call.
+
+        Raises:
+            TargetUnreachable: The worker did not answer, or its answer
+                cannot be decoded.
         """
         message = {"fence": self.fence, "ackedThrough": acknowledged}
         if deadline_ms is not None:
@@ -170,7 +212,11 @@
         return command_result(status, body)
 
     async def call(self, name, message, timeout_s):
-        """Makes a call and returns status and body."""
+        """Makes a call and returns the HTTP status and body of the answer.
+
+        Raises:
+            TargetUnreachable: The worker did not answer.
+        """
         timeout = aiohttp.ClientTimeout(
             total=timeout_s, connect=min(timeout_s, CONNECT_TIMEOUT_S)
         )
@@ -192,7 +238,7 @@
             raise self.unreachable(name, error, sent=True) from error
 
     def unreachable(self, name, error, *, sent):
-        """Returns the error of a call without an answer."""
+        """Counts a call without an answer and returns its exception."""
         self.metrics.count("worker_failures", call=name)
         return exception.TargetUnreachable(
             message=f"Worker {self.worker} did not answer {name}: {error!r}.",
@@ -201,7 +247,7 @@
 
 
 def command_result(status, body):
-    """Returns the meaning of an answer to an order."""
+    """Returns the ``CommandResult`` for the status and body of an answer."""
     if status == STATUS_OK:
         return CommandResult.ACCEPTED
     if status == STATUS_MISDIRECTED:
@@ -217,20 +263,24 @@
 
 
 def decode_inventory(body):
-    """Decodes the lists of a worker.
+    """Decodes the body of an answer to ``hold``.
 
     Raises:
-        TargetUnreachable: The body is no such list.
+        TargetUnreachable: The body is not a valid inventory.
     """
     try:
         found = msgspec.json.decode(body)
         return Inventory(
             int(found["clockMs"]),
             int(found.get("born", 0)),
-            [wire.parse_task_row(row) for row in found.get("running") or ()],
-            [wire.parse_end(row) for row in found.get("finished") or ()],
+            [wire.parse_run_report(row) for row in found.get("running") or ()],
+            [
+                wire.parse_end_report(row)
+                for row in found.get("finished") or ()
+            ],
         )
     except (ValueError, KeyError, TypeError, IndexError) as error:
         raise exception.TargetUnreachable(
-            message=f"A worker's list cannot be read: {error!r}.", sent=True
+            message=f"A worker's inventory cannot be decoded: {error!r}.",
+            sent=True,
         ) from error
