--- a/packages/cicadafold/src/cicadafold/__init__.py
+++ b/packages/cicadafold/src/cicadafold/__init__.py
@@ -1,1 +1,1 @@
-"""Cicadafold, a cluster scheduler for unlike work on one shared cell."""
+"""Cicadafold, a cluster scheduler for mixed workloads in one shared cell."""
--- a/packages/cicadafold/src/cicadafold/clock.py
+++ b/packages/cicadafold/src/cicadafold/clock.py
@@ -1,15 +1,16 @@
-"""Monotonic time of this process and estimates of a worker's clock."""
+"""Clocks of this process, and a lower bound of a worker's clock."""
 
 import time
 
 __all__ = ["MILLISECONDS", "WorkerClock", "monotonic_ms", "wall_ms"]
 
 MILLISECONDS = 1000
+# Largest relative difference between the rates of two clocks.
 MAX_DRIFT = 0.001
 
 
 def monotonic_ms():
-    """Returns the monotonic clock in milliseconds."""
+    """Returns the reading of the monotonic clock in milliseconds."""
     return time.monotonic() * MILLISECONDS
 
 
@@ -19,11 +20,17 @@
 
 
 class WorkerClock:
-    """Lower bound of a worker's clock, from its last answer.
+    """Lower bound of a worker's clock, computed from its last answer.
 
-    The answer left the worker before it arrived here, so that the worker's
-    clock is at least what it said plus the time since the arrival, less
-    the drift allowed between two clocks.
+    The worker sent the answer before it arrived here. So its clock now shows
+    at least the value in the answer plus the time since the arrival, less
+    the largest drift between two clocks.
+
+    Attributes:
+        worker_ms: Reading of the worker's clock in its last answer, in
+            milliseconds.
+        updated_ms: Monotonic time in milliseconds at which that answer
+            arrived, or None before the first answer.
 
     Examples:
         >>> clock = WorkerClock()
@@ -37,12 +44,23 @@
         self.updated_ms = None
 
     def update(self, worker_ms, *, at_ms=None):
-        """Takes the clock value of an answer that has just arrived."""
+        """Records the clock reading of an answer that has just arrived.
+
+        Args:
+            worker_ms: Reading of the worker's clock in milliseconds.
+            at_ms: Monotonic time of the arrival in milliseconds; None means
+                now.
+        """
         self.worker_ms = worker_ms
         self.updated_ms = monotonic_ms() if at_ms is None else at_ms
 
     def lower_bound_ms(self, *, at_ms=None):
-        """Returns the lower bound in milliseconds."""
+        """Returns the lower bound of the worker's clock in milliseconds.
+
+        Args:
+            at_ms: Monotonic time in milliseconds for which the bound holds;
+                None means now.
+        """
         now_ms = monotonic_ms() if at_ms is None else at_ms
         elapsed_ms = now_ms - self.updated_ms
         return self.worker_ms + elapsed_ms * (1 - MAX_DRIFT)
--- a/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
+++ b/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
@@ -29,7 +29,7 @@
     async def read(self, topic, partition, start, *, wait_ms=0):
         """Waits for the release and returns what follows."""
         await self.release.wait()
-        return log_store.ReadPage(len(self.entries), self.entries[start:])
+        return log_store.Page(len(self.entries), self.entries[start:])
 
     async def append(self, topic, partition, entries, *, at=None):
         """Appends if the partition still ends there."""
--- a/packages/cicadafold/src/cicadafold/exception.py
+++ b/packages/cicadafold/src/cicadafold/exception.py
@@ -1,8 +1,8 @@
-"""The exception hierarchy; every message names its remedy.
+"""The exception hierarchy; every exception has a message and a remedy.
 
-Each class fixes the error code, the HTTP status and what became of the
-request. ``NOT_RUN`` is used only where no target has started the request
-and none ever will.
+Each class sets the error code, the HTTP status and the outcome of the
+request. The outcome ``not_run`` is used only if no target has started the
+request and none ever will.
 """
 
 from cicadafold_schema import messages
@@ -49,18 +49,23 @@
 
 
 def register_by_code(cls):
-    """Registers an exception class under its error code."""
+    """Class decorator that registers an exception under its error code."""
     CLASS_BY_CODE[cls.code] = cls
     return cls
 
 
 class CicadafoldError(Exception):
-    """Base of all errors of this project.
+    """Base class of all exceptions of this project.
 
     Args:
-        message: What went wrong, as one short sentence.
-        remedy: What the reader can do about it.
-        retry_after_ms: Milliseconds after which a retry makes sense.
+        message: What failed, as one short sentence.
+        remedy: How the reader can correct it, as one short sentence.
+        retry_after_ms: Milliseconds after which to retry, or None.
+
+    Attributes:
+        code: Error code in the reply to a caller.
+        status: HTTP status of the reply.
+        outcome: Outcome of the request.
     """
 
     code = Code.internal
@@ -74,7 +79,7 @@
         self.retry_after_ms = retry_after_ms
 
     def reply(self):
-        """Returns the error as the schema's message."""
+        """Returns the reply to a caller, as a message of the schema."""
         error = messages.Error(
             code=self.code, message=self.message, remedy=self.remedy
         )
@@ -85,14 +90,14 @@
 
 @register_by_code
 class Internal(CicadafoldError):
-    """A fault of this program; the request may have run."""
+    """An internal error of this process; the request may have run."""
 
     outcome = Outcome.unknown
 
 
 @register_by_code
 class MalformedCall(CicadafoldError):
-    """The body is not what the schema describes."""
+    """The body of the call does not conform to the schema."""
 
     code = Code.malformed
     status = 400
@@ -100,7 +105,7 @@
 
 @register_by_code
 class InvalidCall(CicadafoldError):
-    """The call is well formed and makes no sense."""
+    """The call conforms to the schema, but its values are not valid."""
 
     code = Code.invalid
     status = 422
@@ -108,7 +113,7 @@
 
 @register_by_code
 class TooLarge(CicadafoldError):
-    """The body is over the limit."""
+    """The body of the call exceeds the size limit."""
 
     code = Code.too_large
     status = 413
@@ -116,7 +121,7 @@
 
 @register_by_code
 class Unauthorized(CicadafoldError):
-    """No known token came with the call."""
+    """The call has no token, or an unknown one."""
 
     code = Code.unauthorized
     status = 401
@@ -124,7 +129,7 @@
 
 @register_by_code
 class Forbidden(CicadafoldError):
-    """The token's role may not make this call."""
+    """The role of the token does not permit this call."""
 
     code = Code.forbidden
     status = 403
@@ -132,7 +137,7 @@
 
 @register_by_code
 class UnknownKind(CicadafoldError):
-    """The kind is not in the configuration."""
+    """The kind of the request is not in the configuration."""
 
     code = Code.unknown_kind
     status = 404
@@ -148,7 +153,7 @@
 
 @register_by_code
 class UnknownRequest(CicadafoldError):
-    """No record of the request is left."""
+    """There is no record of the request, or no longer."""
 
     code = Code.unknown_request
     status = 404
@@ -157,7 +162,7 @@
 
 @register_by_code
 class NotFound(CicadafoldError):
-    """No call has this path."""
+    """No call is served at this path."""
 
     code = Code.not_found
     status = 404
@@ -165,7 +170,7 @@
 
 @register_by_code
 class RequestConflict(CicadafoldError):
-    """The request id is in use for another request."""
+    """The request identifier belongs to a different request."""
 
     code = Code.request_conflict
     status = 409
@@ -173,7 +178,7 @@
 
 @register_by_code
 class NeverFits(CicadafoldError):
-    """No worker, or no rack for a gang, can ever hold the request."""
+    """The request exceeds the capacity of every worker, or rack for a gang."""
 
     code = Code.never_fits
     status = 422
@@ -181,7 +186,7 @@
 
 @register_by_code
 class Overloaded(CicadafoldError):
-    """The request would not be done by its deadline."""
+    """The request was rejected, as it would not be done by its deadline."""
 
     code = Code.overloaded
     status = 429
@@ -197,7 +202,7 @@
 
 @register_by_code
 class LogUnavailable(CicadafoldError):
-    """The log service is needed and does not answer."""
+    """The log or the store of the platform did not serve the call."""
 
     code = Code.log_unavailable
     status = 503
@@ -213,7 +218,7 @@
 
 @register_by_code
 class Draining(CicadafoldError):
-    """The entry host takes no new requests."""
+    """The entry host is draining and accepts no new requests."""
 
     code = Code.draining
     status = 503
@@ -221,7 +226,7 @@
 
 @register_by_code
 class RevisionConflict(CicadafoldError):
-    """The configuration has changed since the base revision."""
+    """The configuration has changed since the revision of the caller."""
 
     code = Code.revision_conflict
     status = 409
@@ -255,11 +260,11 @@
 
 
 class LogFenced(CicadafoldError):
-    """A newer writer has taken the partition over."""
+    """A writer with a higher epoch has appended to the partition."""
 
 
 class LogEndMoved(CicadafoldError):
-    """The partition does not end where the append expected it.
+    """The partition does not end at the offset that the append expected.
 
     Attributes:
         end: Offset at which the partition ends.
@@ -274,7 +279,7 @@
 
 
 class LogOutOfSequence(CicadafoldError):
-    """The append does not follow the writer's last one.
+    """The sequence number of the append does not follow the writer's last.
 
     Attributes:
         expected: Sequence number that the partition expects.
@@ -283,38 +288,38 @@
     def __init__(self, *, expected):
         super().__init__(
             message=f"The partition expects sequence {expected}.",
-            remedy="Go on from there; lower numbers are recorded.",
+            remedy="Continue there; lower numbers have been appended.",
         )
         self.expected = expected
 
 
 class LogTrimmed(CicadafoldError):
-    """The records asked for have been deleted."""
+    """The records to read have been deleted from the store."""
 
     def __init__(self):
         super().__init__(
-            message="The records asked for have been deleted.",
+            message="The store has deleted the records to read.",
             remedy="Read the newest record of each key instead.",
         )
 
 
 class SettingsError(CicadafoldError):
-    """The settings file has faults."""
+    """The settings file cannot be read or has invalid settings."""
 
 
 class LinkNotOpen(CicadafoldError):
-    """The peer could not be reached; nothing was sent."""
+    """A link could not be opened; the call was not sent."""
 
 
 class LinkLost(CicadafoldError):
-    """The link broke after the call was sent."""
+    """The link was lost after the call was sent; it may take effect."""
 
 
 class TargetUnreachable(CicadafoldError):
-    """A target did not answer.
+    """A target or a service of the platform did not answer.
 
     Attributes:
-        sent: Whether the call may have reached the target.
+        sent: Whether the call may have arrived, and so may take effect.
     """
 
     def __init__(self, *, message, sent):
@@ -325,22 +330,22 @@
 
 
 class TargetRefused(CicadafoldError):
-    """A target refused a call; a refused start never ran.
+    """A target refused a call; a refused start never runs.
 
     Attributes:
-        refusal: The target's message.
+        refusal: The ``Refusal`` that the target sent.
     """
 
     def __init__(self, *, refusal):
         super().__init__(
             message=f"The target refused: {refusal.code.value}.",
-            remedy="The call is repeated elsewhere.",
+            remedy="The call is repeated on another worker.",
         )
         self.refusal = refusal
 
 
 def from_code(code, *, message, remedy, retry_after_ms=None):
-    """Builds the exception that belongs to an error code.
+    """Returns the exception that belongs to an error code.
 
     Examples:
         >>> from_code(Code.draining, message="a", remedy="b").status
--- a/packages/cicadafold/src/cicadafold/hosts.py
+++ b/packages/cicadafold/src/cicadafold/hosts.py
@@ -1,4 +1,4 @@
-"""Workers by rack, from the platform's lagging list."""
+"""Workers by rack, from the platform's list of workers."""
 
 import asyncio
 
@@ -11,14 +11,23 @@
 
 __all__ = ["HostTable", "RackEntry", "merge_hosts"]
 
-PERIOD_S = 1.0
-SLOW_PERIOD_S = 3.0
+REFRESH_PERIOD_S = 1.0
+SLOW_REFRESH_PERIOD_S = 3.0
 
 LOG = logs.get_logger("hosts")
 
 
 class RackEntry:
-    """A rack and the workers that the list shows in it."""
+    """A rack and its workers.
+
+    Attributes:
+        name: Name of the rack.
+        failure_domain: Failure domain of the rack.
+        region: Region of the rack.
+        hosts: ``HostEntry`` of each worker in the rack.
+        capacities: Capacity of each worker when it runs no tasks, in the
+            order of ``hosts``.
+    """
 
     def __init__(self, *, name, failure_domain, region, hosts):
         self.name = name
@@ -28,20 +37,34 @@
         self.capacities = [capacity.Capacity.of_host(h) for h in hosts]
 
     def could_fit(self, kind, *, headroom):
-        """Whether the empty rack could hold a request of a kind."""
+        """Whether the rack could run a request of a kind if it were idle.
+
+        Args:
+            kind: Kind of the request.
+            headroom: Slots of each worker that stay free, each with its
+                share of the cores and memory.
+        """
         size = capacity.size_of_kind(kind)
         count = 0
         for empty in self.capacities:
-            count += tasks_that_fit(empty, size, headroom, kind.tasks)
+            count += count_fitting_tasks(empty, size, headroom, kind.tasks)
             if count >= kind.tasks:
                 return True
         return False
 
 
-def tasks_that_fit(empty, size, headroom, most):
-    """Counts the tasks that an empty worker could hold."""
+def count_fitting_tasks(empty, size, headroom, limit):
+    """Returns how many tasks an idle worker could run at once.
+
+    Args:
+        empty: Capacity of the idle worker; unchanged on return.
+        size: Resources of one task.
+        headroom: Slots of the worker that stay free, each with its share of
+            the cores and memory.
+        limit: Number of tasks at which the count stops.
+    """
     count = 0
-    while count < most and empty.fits(size, headroom=headroom):
+    while count < limit and empty.fits(size, headroom=headroom):
         empty.reserve(size)
         count += 1
     empty.reset()
@@ -49,14 +72,23 @@
 
 
 class HostTable:
-    """Follows the platform's list, and the workers that the log records.
+    """The workers in the platform's list and in the control log.
+
+    The list lags behind the real state. A worker that the control log
+    contains and the list does not is marked as leaving: it gets no new
+    tasks, but its running tasks are still managed.
 
-    A worker that the log records and the list does not show counts as
-    leaving: it gets no work, and its tasks are looked after.
+    Args:
+        source: Adapter that reads the platform's list.
+        recorded: Function that returns the workers in the control log by
+            rack.
+        is_owner: Function that returns whether this process owns a rack.
 
     Attributes:
-        racks: Racks by name.
-        version: Rises whenever the workers have changed.
+        racks: ``RackEntry`` objects by name.
+        version: Number that increases with each change of the workers.
+        listed: Workers that the platform's list had when it was last read.
+        merged: Result of the last ``merge_hosts``.
     """
 
     def __init__(self, *, source, recorded, is_owner=lambda: True):
@@ -69,22 +101,30 @@
         self.merged = None
 
     async def run(self):
-        """Reads the list each period; owners of racks more often."""
+        """Reads the list periodically until the task is cancelled.
+
+        The period is shorter while this process owns a rack or knows none.
+        """
         while True:
             await self.refresh()
             quick = self.is_owner() or not self.racks
-            await asyncio.sleep(PERIOD_S if quick else SLOW_PERIOD_S)
+            await asyncio.sleep(
+                REFRESH_PERIOD_S if quick else SLOW_REFRESH_PERIOD_S
+            )
 
     async def refresh(self):
-        """Reads the list once; an outage keeps the last one."""
+        """Reads the list once; if that fails, the last list stays valid."""
         try:
             self.listed = await self.source.list_hosts()
         except exception.TargetUnreachable as error:
-            LOG.warning("The host list is unavailable. %s", error.message)
+            LOG.warning(
+                "Cannot read the host list, keeping the last one. %s",
+                error.message,
+            )
         self.rebuild()
 
     def rebuild(self):
-        """Joins the platform's list and the recorded workers."""
+        """Merges the last list and the recorded workers into ``racks``."""
         hosts = merge_hosts(self.listed, self.recorded())
         if hosts == self.merged:
             return
@@ -104,17 +144,17 @@
         }
 
     def hosts_in_rack(self, name):
-        """Returns the workers of a rack."""
+        """Returns the workers of a rack; empty for an unknown rack."""
         rack = self.racks.get(name)
         return rack.hosts if rack else []
 
 
 def merge_hosts(listed, recorded):
-    """Returns the listed workers, and the recorded ones as leaving.
+    """Returns the listed workers, then the other recorded ones as leaving.
 
     Args:
-        listed: Workers of the platform's list.
-        recorded: Recorded workers by rack.
+        listed: Workers in the platform's list.
+        recorded: Workers in the control log by rack.
     """
     names = {host.name for host in listed}
     missing = [
--- a/packages/cicadafold/src/cicadafold/names.py
+++ b/packages/cicadafold/src/cicadafold/names.py
@@ -1,4 +1,4 @@
-"""Identifiers that the whole project shares."""
+"""Types of names, identifiers and numbers, shared by all packages."""
 
 import typing
 
--- a/packages/cicadafold/src/cicadafold/platform/boot.py
+++ b/packages/cicadafold/src/cicadafold/platform/boot.py
@@ -1,4 +1,4 @@
-"""Reads the settings file that the platform writes for a process."""
+"""Reads and checks the settings file that the platform writes."""
 
 import os
 import pathlib
@@ -18,15 +18,15 @@
 
 
 class BootField:
-    """One field of the file that this process needs.
+    """One field of the settings file.
 
     Attributes:
-        name: Name in ``CellSettings``.
-        path: Dotted path in the file.
-        type: Expected type; ``float`` also takes whole numbers.
+        name: Name of the field in ``CellSettings``.
+        path: Dotted path of the field in the file.
+        type: Expected type; ``float`` also accepts integers.
         default: Value if the field is absent; None makes it required.
-        valid: Function that tells whether a value makes sense.
-        remedy: What to write instead.
+        valid: Predicate of valid values.
+        remedy: How to correct an invalid value, as one sentence.
     """
 
     def __init__(self, *, name, path, type, valid, remedy, default=None):
@@ -44,12 +44,12 @@
 
 
 def optional_address(value):
-    """Whether a text is empty or an address."""
+    """Whether a text is empty or an IP number and a port."""
     return not value or table.is_address(value)
 
 
 def address_field(name, path):
-    """Returns the field of a required address."""
+    """Returns a field for a required address."""
     return BootField(
         name=name,
         path=path,
@@ -60,7 +60,7 @@
 
 
 def number_field(name, path, default):
-    """Returns the field of a positive number."""
+    """Returns a field for a positive number."""
     return BootField(
         name=name,
         path=path,
@@ -72,7 +72,7 @@
 
 
 def name_field(name, path):
-    """Returns the field of a short name."""
+    """Returns a field for a required short name."""
     return BootField(
         name=name,
         path=path,
@@ -82,6 +82,10 @@
     )
 
 
+# ``bounds.holdMaxMs`` is the longest lease that a worker grants,
+# ``platform.ttlMinMs`` the time after which the store removes a process that
+# does not renew its membership, and ``limits.cpuShare`` the share of the
+# host's cores that the process may use.
 FIELDS = (
     name_field("member", "nodeName"),
     name_field("domain", "zone"),
@@ -108,7 +112,7 @@
 
 
 def settings_path():
-    """Returns the path of the settings file."""
+    """Returns the settings file's path, from the environment if set there."""
     return os.environ.get(PATH_VARIABLE, DEFAULT_PATH)
 
 
@@ -119,7 +123,8 @@
         path: Path of the file.
 
     Returns:
-        ``Ok`` with ``CellSettings``, or ``Error`` with a list of faults.
+        ``Ok`` with ``CellSettings``, or ``Error`` with the list of all
+        ``InvalidSetting``.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -134,28 +139,35 @@
 
 
 def check_document(document):
-    """Checks a parsed settings file and lists every fault."""
-    faults = []
+    """Checks a parsed settings file.
+
+    Args:
+        document: Nested tables as ``tomllib`` returns them.
+
+    Returns:
+        The same as ``load``.
+    """
+    invalid = []
     values = {}
     for field in FIELDS:
         value = lookup(document, field.path)
         if value is MISSING:
             value = field.default
-        fault = check_field(field, value)
-        if fault is not None:
-            faults.append(fault)
+        problem = check_field(field, value)
+        if problem is not None:
+            invalid.append(problem)
         else:
             values[field.name] = value
-    ports = internal_addresses(document, faults)
-    if faults:
-        return expression.Error(faults)
+    ports = internal_addresses(document, invalid)
+    if invalid:
+        return expression.Error(invalid)
     values["cores"] *= values.pop("core_share")
     values["member_ttl_ms"] = int(values["member_ttl_ms"])
     return expression.Ok(cell.CellSettings(**values, **ports))
 
 
 def lookup(document, path):
-    """Returns the value at a dotted path, MISSING if there is none."""
+    """Returns the value at a dotted path, or ``MISSING``."""
     found = document
     for name in path.split("."):
         if not isinstance(found, dict) or name not in found:
@@ -165,7 +177,7 @@
 
 
 def check_field(field, value):
-    """Returns the fault of a value, or None."""
+    """Returns the ``InvalidSetting`` for a value, or None if it is valid."""
     if value is None:
         return check.InvalidSetting(
             key=field.path, found="nothing", remedy=field.remedy
@@ -179,8 +191,19 @@
     )
 
 
-def internal_addresses(document, faults):
-    """Returns the addresses for peers and metrics on this host's ports."""
+def internal_addresses(document, invalid):
+    """Returns the addresses for peers and metrics.
+
+    They use the first two ports of ``portRange`` at the IP number ``ip``.
+
+    Args:
+        document: Parsed settings file.
+        invalid: List to which invalid settings are added.
+
+    Returns:
+        Addresses by name in ``CellSettings``; empty if any setting of the
+        file is invalid.
+    """
     ip = document.get("ip")
     ports = document.get("portRange")
     ranged = (
@@ -190,7 +213,7 @@
         and ports[0] < ports[1]
     )
     if not ranged:
-        faults.append(
+        invalid.append(
             check.InvalidSetting(
                 key="portRange",
                 found=repr(ports),
@@ -198,12 +221,12 @@
             )
         )
     if not isinstance(ip, str) or not table.is_address(f"{ip}:1"):
-        faults.append(
+        invalid.append(
             check.InvalidSetting(
                 key="ip", found=repr(ip), remedy="Write an IP number."
             )
         )
-    if faults:
+    if invalid:
         return {}
     return {
         "peer_address": f"{ip}:{ports[0]}",
--- a/packages/cicadafold/src/cicadafold/platform/record_codec.py
+++ b/packages/cicadafold/src/cicadafold/platform/codec.py
@@ -4,8 +4,8 @@
 
 __all__ = [
     "encode_records",
-    "encode_keyed_record",
-    "decode_keyed_record",
+    "encode_keyed",
+    "decode_keyed",
     "decode_records",
 ]
 
@@ -53,7 +53,7 @@
     return end, first, records
 
 
-def encode_keyed_record(key, value=b""):
+def encode_keyed(key, value=b""):
     """Encodes a record of a keyed topic.
 
     Args:
@@ -61,18 +61,18 @@
         value: Value of the key; an empty one deletes the key.
 
     Examples:
-        >>> encode_keyed_record("a", b"bc")
+        >>> encode_keyed("a", b"bc")
         b'\\x01abc'
     """
     name = key.encode()
     return bytes((len(name),)) + name + value
 
 
-def decode_keyed_record(record):
+def decode_keyed(record):
     """Decodes a record of a keyed topic into its key and value.
 
     Examples:
-        >>> decode_keyed_record(b"\\x01abc")
+        >>> decode_keyed(b"\\x01abc")
         ('a', b'bc')
     """
     if not record:
--- a/packages/cicadafold/src/cicadafold/platform/job_client.py
+++ b/packages/cicadafold/src/cicadafold/platform/job_client.py
@@ -1,4 +1,4 @@
-"""Calls of a caller of jobs, as the command line makes them."""
+"""HTTP client for submitting jobs, used by the command line."""
 
 import asyncio
 
@@ -18,12 +18,12 @@
 
 
 class JobClient:
-    """Calls to the queue of one address.
+    """Calls for the jobs of one queue.
 
     Args:
         address: IP number and port of an entry host.
-        authority: Host name of the queue.
-        prefix: Start of the queue's paths.
+        authority: Host name of the queue, sent as the ``Host`` header.
+        prefix: Prefix of the queue's URL paths.
     """
 
     def __init__(self, *, address, authority, prefix):
@@ -31,12 +31,20 @@
         self.headers = HEADERS | {"Host": authority}
 
     def submit(self, job, job_file):
-        """Submits a job; the same identifier stays one job.
+        """Submits a job.
+
+        Submitting a job again with the same identifier has no further
+        effect.
+
+        Args:
+            job: Identifier of the job, 16 hexadecimal digits.
+            job_file: Decoded job file.
 
         Raises:
-            LogUnavailable: It was not accepted and never will be.
-            OutcomeUnknown: It may have been accepted.
-            InvalidCall: It was refused for a fault of its own.
+            LogUnavailable: The job was not accepted.
+            OutcomeUnknown: The job may have been accepted.
+            InvalidCall: The job or the call is not valid.
+            LinkNotOpen: The entry host could not be reached.
         """
         body = msgspec.json.encode(wire.job_document(job_file))
         status, answer = self.call("POST", job, body)
@@ -44,7 +52,7 @@
             raise refused(status, answer)
 
     def state(self, job):
-        """Returns the state of a job, None if there is none."""
+        """Returns the state of a job as text, or None for an unknown job."""
         status, answer = self.call("GET", job)
         if status == STATUS_GONE:
             return None
@@ -53,7 +61,7 @@
         return answer.get("state")
 
     def cancel(self, job):
-        """Cancels a job and returns whether there was one."""
+        """Cancels a job and returns whether the job was known."""
         status, answer = self.call("DELETE", job)
         if status == STATUS_GONE:
             return False
@@ -62,18 +70,23 @@
         return True
 
     def pending(self):
-        """Returns how many jobs of the queue have not started."""
+        """Returns the number of jobs in the queue that have not started."""
         status, answer = self.call("GET", "")
         if status not in STATUS_ACCEPTED:
             raise refused(status, answer)
         return answer.get("pending")
 
     def call(self, method, job, body=None):
-        """Makes a call and returns status and answer."""
+        """Makes a call and returns the HTTP status and the decoded answer."""
         return asyncio.run(self.call_once(method, job, body))
 
     async def call_once(self, method, job, body):
-        """Makes a call on a connection of its own."""
+        """Makes a call on a new connection.
+
+        Raises:
+            LinkNotOpen: The entry host could not be reached.
+            OutcomeUnknown: The entry host did not answer.
+        """
         timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
         try:
             async with aiohttp.ClientSession(timeout=timeout) as session:
@@ -83,7 +96,7 @@
                     return answer.status, await answer.json()
         except aiohttp.ClientConnectorError as error:
             raise exception.LinkNotOpen(
-                message=f"The entry host was not reached: {error}.",
+                message=f"The entry host could not be reached: {error}.",
                 remedy="Check --address, or try another entry host.",
             ) from error
         except (aiohttp.ClientError, TimeoutError, ValueError) as error:
@@ -94,7 +107,7 @@
 
 
 def refused(status, answer):
-    """Returns the error of a call that was not answered with success."""
+    """Returns the exception for a call whose status is an error."""
     message = str(answer.get("error", f"status {status}"))
     if status in (429, 503):
         return exception.LogUnavailable(
--- a/packages/cicadafold/src/cicadafold/platform/job_server.py
+++ b/packages/cicadafold/src/cicadafold/platform/job_server.py
@@ -1,4 +1,4 @@
-"""Serves the callers of jobs over HTTP, in the platform's words."""
+"""HTTP server for the calls of callers about their jobs."""
 
 import asyncio
 import json
@@ -16,9 +16,9 @@
 
 TIMEOUT_HEADER = "Cicadafold-Timeout-Ms"
 DEFAULT_TIMEOUT_MS = 3000.0
-# Time for the answer to reach the caller before it stops waiting.
+# Part of the caller's timeout that is left for the answer to arrive.
 ANSWER_MARGIN_S = 0.15
-# A question about a job is repeated by its caller; it waits no longer.
+# Limit for queries of state, which callers repeat after a failure.
 QUERY_TIMEOUT_S = 1.5
 MILLISECONDS = 1000.0
 RETRY_AFTER_S = "1"
@@ -29,13 +29,14 @@
 
 
 class JobRequestHandler:
-    """Handles the calls of callers.
+    """Handles the HTTP requests of callers.
 
     Args:
-        door: What callers can do.
-        routes: Holder of the newest configuration.
-        closing: Function that tells whether connections should be closed.
-        metrics: Where calls are counted.
+        service: The ``JobService`` that executes the calls.
+        routes: The ``Routes`` with the newest configuration.
+        closing: Function that returns whether connections are closed after
+            the answer.
+        metrics: Metrics that count the calls.
     """
 
     def __init__(self, *, service, routes, closing, metrics):
@@ -45,7 +46,7 @@
         self.metrics = metrics
 
     async def handle(self, request):
-        """Answers one call."""
+        """Answers one HTTP request."""
         try:
             answer = await self.route(request)
         except exception.CicadafoldError as error:
@@ -70,7 +71,12 @@
         return answer
 
     async def route(self, request):
-        """Finds the queue of a call and what it asks for."""
+        """Finds the queue and the handler of a request and calls the handler.
+
+        Raises:
+            CicadafoldError: The call was refused or failed.
+            ValueError: The call is malformed.
+        """
         configuration = self.routes.current
         if configuration is None:
             raise exception.Starting(
@@ -127,7 +133,7 @@
         return web.json_response({})
 
     async def state(self, request, rule, job):
-        """Tells the state of a job."""
+        """Answers with the state of a job."""
         found = await self.service.state(
             job, deadline_s=query_deadline(request)
         )
@@ -144,7 +150,7 @@
         return web.json_response({"error": "no such job"}, status=410)
 
     async def pending(self, request, rule):
-        """Tells how many jobs of a queue have not started."""
+        """Answers with the number of jobs in a queue that have not started."""
         count = await self.service.pending(
             rule.name, deadline_s=query_deadline(request)
         )
@@ -152,7 +158,10 @@
 
 
 def request_deadline(request):
-    """Returns the loop time at which the caller must have its answer."""
+    """Returns the loop time in seconds until which a call must be answered.
+
+    It is the timeout that the caller sent, less ``ANSWER_MARGIN_S``.
+    """
     text = request.headers.get(TIMEOUT_HEADER, "")
     try:
         timeout_ms = float(text) if text else DEFAULT_TIMEOUT_MS
@@ -163,13 +172,13 @@
 
 
 def query_deadline(request):
-    """Returns the loop time at which a question is given up."""
+    """Returns the loop time in seconds at which a query times out."""
     loop = asyncio.get_running_loop()
     return min(request_deadline(request), loop.time() + QUERY_TIMEOUT_S)
 
 
 def refusal(error):
-    """Returns the answer to a call that failed."""
+    """Returns the HTTP response for a call that failed."""
     headers = {}
     if error.status in (429, 503):
         wait_ms = error.retry_after_ms or MILLISECONDS
@@ -182,18 +191,23 @@
     )
 
 
-def make_caller_app(calls):
-    """Returns the application for callers."""
+def make_caller_app(handler):
+    """Returns the web application for callers.
+
+    Args:
+        handler: The ``JobRequestHandler``.
+    """
     app = web.Application(client_max_size=MAX_BODY_BYTES)
-    app.router.add_route("*", "/{path:.*}", calls.handle)
+    app.router.add_route("*", "/{path:.*}", handler.handle)
     return app
 
 
 def make_ready_app(ready):
-    """Returns the application for readiness checks.
+    """Returns the web application for readiness checks.
 
     Args:
-        ready: Function that tells whether new connections are welcome.
+        ready: Function that returns whether the process accepts new
+            connections.
     """
 
     async def handle(request):
--- a/packages/cicadafold/src/cicadafold/platform/log_store.py
+++ b/packages/cicadafold/src/cicadafold/platform/log_store.py
@@ -9,23 +9,17 @@
 
 from cicadafold import clock
 from cicadafold import exception
-from cicadafold.platform import record_codec
+from cicadafold.platform import codec
 
-__all__ = [
-    "AppendResult",
-    "LogStore",
-    "Membership",
-    "NewestRecord",
-    "ReadPage",
-]
+__all__ = ["AppendResult", "LogStore", "Membership", "NewestRecord", "Page"]
 
 # The store drops a connection if the answer is lost. A healthy answer takes
 # one append and one round trip, at most a few tens of milliseconds.
 CALL_TIMEOUT_S = 1.5
 CONNECT_TIMEOUT_S = 0.8
 READ_MARGIN_S = 1.0
-# Time without a served call after which a failing store is unreachable; a
-# process joins its group a few times within it.
+# Time without a served call after which a failing store is considered
+# unreachable; a process joins its group a few times within it.
 UNREACHABLE_AFTER_MS = 1000.0
 # After this time the scheduler asks its peers whether the store serves them.
 FAILING_AFTER_MS = 250.0
@@ -35,7 +29,6 @@
 APPEND_TIMEOUT_FACTOR = 4.0
 MIN_APPEND_TIMEOUT_S = 0.8
 MAX_APPEND_TIMEOUT_S = 2.4
-# Weight of the newest append in the exponential moving average.
 APPEND_MEAN_WEIGHT = 0.3
 MILLISECONDS = 1000
 STATUS_OK = 200
@@ -56,8 +49,8 @@
     end: int
 
 
-class ReadPage(msgspec.Struct, frozen=True):
-    """Consecutive records of a keyed topic.
+class Page(msgspec.Struct, frozen=True):
+    """One page of consecutive records of a keyed topic.
 
     Attributes:
         end: Offset at which the partition ends.
@@ -98,9 +91,9 @@
 
     Attributes:
         last_failed_ms: Monotonic time of the last call that failed.
-        last_served_ms: Monotonic time of the last answer but a refusal.
-        failing_since_ms: Monotonic time at which the first call started
-            that failed after the last served one.
+        last_served_ms: Monotonic time of the last call that was served.
+        failing_since_ms: Monotonic start time of the first call that failed
+            after the last served one.
         mean_append_ms: Moving average of the duration of an append.
     """
 
@@ -152,9 +145,8 @@
                 "POST",
                 "log-append",
                 query=query,
-                data=record_codec.encode_records(
-                    record_codec.encode_keyed_record(key, value)
-                    for key, value in entries
+                data=codec.encode_records(
+                    codec.encode_keyed(key, value) for key, value in entries
                 ),
                 timeout_s=timeout_s or self.append_timeout_s,
             )
@@ -189,14 +181,10 @@
         max_kb=1024,
         read_margin_s=READ_MARGIN_S,
     ):
-        """Reads records, starting at an offset.
-
-        The store waits up to ``wait_ms`` for a record; the call times out
-        ``read_margin_s`` later.
+        """Reads records from an offset on, waiting ``wait_ms`` for the first.
 
         Raises:
-            LogUnavailable: The store refused or could not be reached.
-            LinkLost: The store did not answer.
+            LogUnavailable, LinkLost: The store did not serve the call.
             LogTrimmed: The store has deleted the records.
         """
         query = {
@@ -214,10 +202,8 @@
             timeout_s=wait_ms / MILLISECONDS + read_margin_s,
         )
         if status == STATUS_OK:
-            end, _, found = record_codec.decode_records(body)
-            return ReadPage(
-                end, [record_codec.decode_keyed_record(item) for item in found]
-            )
+            end, _, found = codec.decode_records(body)
+            return Page(end, [codec.decode_keyed(item) for item in found])
         if status == STATUS_GONE:
             raise exception.LogTrimmed()
         raise unexpected("read", status)
@@ -229,8 +215,7 @@
             The records, and the offset from which to read on.
 
         Raises:
-            LogUnavailable: The store refused or could not be reached.
-            LinkLost: The store did not answer.
+            LogUnavailable, LinkLost: The store did not serve the call.
         """
         records = []
         resume = None
@@ -251,10 +236,7 @@
             query["dependsOn"] = items[-1]["key"]
 
     async def join(self, group, member, topic, *, ttl_ms, generation):
-        """Joins a group, or renews the membership for ``ttl_ms``.
-
-        The store assigns the partitions of the topic to the members.
-        """
+        """Joins a group, or renews the membership, and returns it."""
         message = {
             "group": group,
             "member": member,
--- a/packages/cicadafold/src/cicadafold/platform/messages.py
+++ b/packages/cicadafold/src/cicadafold/platform/messages.py
@@ -1,4 +1,7 @@
-"""Messages of the platform's log service, host list and targets."""
+"""Messages of the platform's log service, host list and targets.
+
+The field names are the platform's.
+"""
 
 import enum
 
@@ -27,7 +30,7 @@
 
 
 class AppendReply(Message):
-    """Offset that the log gave to an appended entry."""
+    """Answer to an append; ``offset`` is that of the appended entry."""
 
     offset: int
 
@@ -38,7 +41,7 @@
     Attributes:
         offset: Position in the stream, counted from 1.
         at_ms: Time of the append by the log's clock, in milliseconds.
-        body: JSON text of the entry.
+        body: JSON text of the entry, not decoded.
     """
 
     offset: int
@@ -47,13 +50,13 @@
 
 
 class ReadReply(Message):
-    """Entries from an offset on.
+    """Answer to a read of a log stream.
 
     Attributes:
         entries: Entries in order of their offsets.
-        oldest: Smallest offset that the log still keeps.
-        next_offset: Offset that the next append will get.
-        now_ms: The log's clock in milliseconds.
+        oldest: Smallest offset that the log retains.
+        next_offset: Offset of the next appended entry.
+        now_ms: Reading of the log's clock in milliseconds.
     """
 
     entries: list[LogEntry]
@@ -70,12 +73,13 @@
 
 
 class HostEntry(Message):
-    """A worker as the platform's list describes it.
+    """A worker in the platform's list.
 
     Attributes:
-        cores: Processor cores in all.
-        memory_mb: Memory in all, in megabytes.
-        slots: Tasks that may run at once.
+        slots: Largest number of tasks that may run at once.
+        cores: Total number of CPU cores.
+        memory_mb: Total memory in megabytes.
+        accelerators: Total number of accelerators.
     """
 
     name: str
@@ -91,13 +95,17 @@
 
 
 class HostList(Message):
-    """The platform's lagging list of workers."""
+    """The platform's list of workers, which lags behind their real state."""
 
     hosts: list[HostEntry]
 
 
 class TaskState(enum.Enum):
-    """State of a task on its target."""
+    """State of a task on its target.
+
+    Attributes:
+        LAPSED: The task was stopped because its lease expired.
+    """
 
     RUNNING = "running"
     DONE = "done"
@@ -107,13 +115,17 @@
 
 
 class StartTask(Message):
-    """Asks a target to start a task and to answer when it ends.
+    """Starts a task on a target, which answers when the task ends.
 
     Attributes:
-        epoch: Boot identifier of the worker that the start is meant for.
-        fence: Ownership term; a lower one than the highest is refused.
-        start_by_ms: Worker time after which the start is refused.
-        lease_until_ms: Worker time at which the task's lease lapses.
+        epoch: Boot identifier of the incarnation that must run the task.
+        fence: Fencing token: the term of the rack's owner. A target refuses
+            tokens lower than the highest that it has received.
+        start_by_ms: Time on the target's clock after which it refuses the
+            start.
+        lease_until_ms: Time on the target's clock at which the task's lease
+            expires.
+        payload: Text that is handed to the task.
     """
 
     task_id: str
@@ -128,11 +140,14 @@
 
 
 class TaskReport(Message):
-    """State of one task; usage lags behind.
+    """State of one task on a target.
 
     Attributes:
-        cores: Cores that are reserved for the task.
-        cores_used: Cores that the task was last seen to use.
+        cores: Cores reserved for the task.
+        memory_mb: Megabytes of memory reserved for the task.
+        accelerators: Accelerators reserved for the task.
+        cores_used: Cores in use when the target last measured them.
+        memory_used_mb: Megabytes in use when the target last measured them.
     """
 
     task_id: str
@@ -146,18 +161,20 @@
 
 
 class FenceRequest(Message):
-    """Raises the fence of a target and asks for its inventory."""
+    """Raises the fencing token of a target and asks for its tasks."""
 
     fence: int
 
 
 class RenewRequest(Message):
-    """Renews leases and frees acknowledged results.
+    """Renews the leases of tasks and acknowledges the ends of others.
 
     Attributes:
-        until_ms: Worker time until which the leases are renewed.
-        tasks: Tasks whose leases are renewed.
-        acknowledged: Ended tasks whose results are no longer needed.
+        fence: Fencing token.
+        until_ms: New end of the leases, on the target's clock.
+        tasks: Identifiers of the tasks whose leases are renewed.
+        acknowledged: Identifiers of ended tasks whose results the target
+            may delete.
     """
 
     fence: int
@@ -167,13 +184,14 @@
 
 
 class TargetReply(Message):
-    """Answer of a target with its clock.
+    """Answer of a target.
 
     Attributes:
-        epoch: Boot identifier of the worker.
-        now_ms: The worker's clock, in milliseconds.
-        booted_ms: What the clock showed when the worker was booted; it
-            knows nothing of tasks from before.
+        epoch: Boot identifier of the target's current incarnation.
+        now_ms: Reading of the target's clock in milliseconds.
+        booted_ms: Reading of the target's clock when this incarnation
+            started; the target has no record of tasks from before.
+        tasks: Reports of the tasks that the call was about.
     """
 
     epoch: str
@@ -183,7 +201,17 @@
 
 
 class RefusalCode(enum.Enum):
-    """Why a target refused a call; a refused start never ran."""
+    """Reason why a target refused a call; a refused start never runs.
+
+    Attributes:
+        FENCED: The fencing token is lower than one received before.
+        EXPIRED: The start arrived after ``start_by_ms`` or after the end of
+            the lease.
+        WRONG_EPOCH: The target has restarted since ``epoch``.
+        LEAVING: The target accepts no new tasks because it is leaving.
+        KNOWN: The target already runs a task with this identifier, or has
+            completed it.
+    """
 
     FENCED = "fenced"
     EXPIRED = "expired"
@@ -193,7 +221,13 @@
 
 
 class Refusal(Message):
-    """A refused call with the target's clock."""
+    """Refusal of a call.
+
+    Attributes:
+        code: Reason of the refusal.
+        epoch: Boot identifier of the target's current incarnation.
+        now_ms: Reading of the target's clock in milliseconds.
+    """
 
     code: RefusalCode
     epoch: str
--- a/packages/cicadafold/src/cicadafold/platform/registry.py
+++ b/packages/cicadafold/src/cicadafold/platform/registry.py
@@ -1,4 +1,4 @@
-"""Reads the registry of workers and the configuration from the store."""
+"""Follows the registry of workers and the configuration in the store."""
 
 import asyncio
 
@@ -12,19 +12,25 @@
 OPERATOR_TOPIC = "keyed.op"
 PARTITION = 0
 CONFIGURATION_KEY = "config"
-# Soon notices a store that has fallen silent; an answer takes some tens of
-# milliseconds.
+# An answer of the store takes some tens of milliseconds; a short margin
+# detects early that the store no longer answers.
 READ_MARGIN_S = 0.4
 
 LOG = logs.get_logger("registry")
 
 
 class KeyedTopicTail:
-    """Reads a keyed topic: newest records first, then what follows.
+    """Tail reader of a keyed topic.
+
+    It reads the newest record of each key first, then all later records.
 
     Args:
         store: Client of the store.
         topic: Name of the topic.
+
+    Attributes:
+        offset: Offset of the next record to read, or None before the first
+            read.
     """
 
     def __init__(self, *, store, topic):
@@ -33,11 +39,18 @@
         self.offset = None
 
     async def changes(self, *, wait_ms=0):
-        """Returns what has changed since the last call.
+        """Reads the changes since the last call.
+
+        Args:
+            wait_ms: Milliseconds for which the store waits for a change.
 
         Returns:
-            Newest value by key, empty bytes for dropped keys; and whether
-            these are all keys there are.
+            Tuple of the changed values by key, where empty bytes stand for
+            a deleted key, and whether they are the complete topic.
+
+        Raises:
+            LogUnavailable: The store refused or could not be reached.
+            LinkLost: The store did not answer.
         """
         if self.offset is not None:
             try:
@@ -50,7 +63,8 @@
                 )
             except exception.LogTrimmed:
                 LOG.warning(
-                    "The history is gone; the newest records are read.",
+                    "The store has deleted the next records of the topic; "
+                    "reading the newest record of each key instead.",
                     fields={"topic": self.topic},
                 )
             else:
@@ -61,10 +75,13 @@
 
 
 class RegistrySource:
-    """The registry of workers.
+    """Reads the registry of workers.
 
     Args:
         store: Client of the store.
+
+    Attributes:
+        known: Last value of each worker's entry by worker name.
     """
 
     def __init__(self, *, store):
@@ -72,24 +89,30 @@
         self.known = {}
 
     async def changes(self):
-        """Returns changed reports by worker; None for those that are gone.
+        """Reads the changes since the last call.
+
+        Returns:
+            Changed ``HostReport`` objects by worker name; None for a worker
+            that was removed or whose entry cannot be decoded.
 
         Raises:
-            LogUnavailable: The store does not answer.
+            LogUnavailable: The store refused or could not be reached.
+            LinkLost: The store did not answer.
         """
-        values, whole = await self.tail.changes()
+        values, complete = await self.tail.changes()
         changed = {}
         for name, value in values.items():
             report = wire.parse_host_report(name, value) if value else None
             if value and report is None:
                 if self.known.get(name) != value:
                     LOG.warning(
-                        "An entry of the registry is unreadable.",
+                        "Cannot decode a worker's entry in the registry; "
+                        "treating the worker as removed.",
                         fields={"worker": name},
                     )
             self.known[name] = value
             changed[name] = report
-        if whole:
+        if complete:
             for name in set(self.known) - set(values):
                 changed[name] = None
                 del self.known[name]
@@ -97,7 +120,7 @@
 
 
 class ConfigurationSource:
-    """The configuration that the operators publish.
+    """Reads the configuration that the operators publish.
 
     Args:
         store: Client of the store.
@@ -109,21 +132,31 @@
     async def next(self, *, wait_ms):
         """Waits for a change and returns the newest configuration.
 
+        Args:
+            wait_ms: Milliseconds for which the store waits for a change.
+
         Returns:
-            The configuration, or None if it has not changed.
+            The ``Configuration``, or None if it has not changed or cannot
+            be decoded.
 
         Raises:
-            LogUnavailable: The store does not answer.
+            LogUnavailable: The store refused or could not be reached.
+            LinkLost: The store did not answer.
         """
-        values, whole = await self.tail.changes(wait_ms=wait_ms)
+        values, complete = await self.tail.changes(wait_ms=wait_ms)
         value = values.get(CONFIGURATION_KEY)
         if not value:
-            if whole:
-                # Nothing to wait on yet: the topic may not exist.
+            if complete:
+                # The store did not wait, since the topic may not exist yet;
+                # yield to the other tasks.
                 await asyncio.sleep(0)
             return None
         try:
             return wire.parse_configuration(value)
         except ValueError as error:
-            LOG.error("The configuration cannot be read: %s", error)
+            LOG.error(
+                "Cannot decode the new configuration; keeping the current "
+                "one: %s",
+                error,
+            )
             return None
--- a/packages/cicadafold/src/cicadafold/platform/tests/test_log_store.py
+++ b/packages/cicadafold/src/cicadafold/platform/tests/test_log_store.py
@@ -1,4 +1,4 @@
-"""Tests of the store's client against the stand-in's protocol."""
+"""Tests of the timeout and the health state of the store's client."""
 
 import pytest
 
@@ -8,14 +8,14 @@
 
 @pytest.fixture
 def store():
-    """A client that is not connected."""
+    """Returns a client that makes no calls."""
     return log_store.LogStore(
         session=None, address="127.0.0.1:1", metrics=metrics.Metrics()
     )
 
 
-def test_slow_store_is_waited_for(store):
-    """The wait grows with the appends seen, within its bounds."""
+def test_append_timeout_grows_with_mean_duration(store):
+    """The timeout is a multiple of the mean duration, within its limits."""
     assert store.append_timeout_s == log_store.MIN_APPEND_TIMEOUT_S
     store.mean_append_ms = 400.0
     assert store.append_timeout_s == 1.6
@@ -23,8 +23,8 @@
     assert store.append_timeout_s == log_store.MAX_APPEND_TIMEOUT_S
 
 
-def test_store_is_out_of_reach_only_while_calls_fail(store):
-    """A long quiet time without failures is no outage."""
+def test_store_is_unreachable_only_while_calls_fail(store):
+    """A long time without any call does not make the store unreachable."""
     store.last_served_ms -= 60_000.0
     assert store.reachable
     store.record_failure("log-read", store.last_served_ms + 1.0)
--- a/packages/cicadafold/src/cicadafold/platform/tests/test_wire.py
+++ b/packages/cicadafold/src/cicadafold/platform/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter: decoding, and that its words stay in it."""
+"""Tests of decoding the platform's data, and where its names are used."""
 
 import json
 import pathlib
@@ -10,9 +10,9 @@
 from cicadafold.platform import boot
 from cicadafold.platform import wire
 
-# Names of the platform's messages that mean something else in this project
-# or nothing at all; none may appear outside the adapter.
-FOREIGN_WORDS = (
+# Names in the platform's messages for which the other packages have names of
+# their own; none of these may occur outside the adapter.
+PLATFORM_NAMES = (
     "ackedThrough",
     "admissionCheck",
     "affinity",
@@ -36,10 +36,10 @@
 )
 
 
-def test_words_of_the_platform_stay_in_the_adapter():
-    """No module outside the adapter knows the platform's names."""
+def test_platform_names_are_used_only_in_the_adapter():
+    """No module outside of ``platform`` contains a name of its messages."""
     root = pathlib.Path(cicadafold.__file__).parent
-    pattern = re.compile("|".join(map(re.escape, FOREIGN_WORDS)))
+    pattern = re.compile("|".join(map(re.escape, PLATFORM_NAMES)))
     found = [
         f"{path.relative_to(root)}: {match.group()}"
         for path in root.rglob("*.py")
@@ -60,13 +60,13 @@
         b'{"service":"s","address":"1","state":"odd","capacity":{}}',
     ],
 )
-def test_damaged_entry_names_no_worker(value):
-    """An entry that cannot be read is left out."""
+def test_invalid_registry_entry_is_ignored(value):
+    """An entry that is malformed or has an unknown state gives no report."""
     assert wire.parse_host_report("i-1", value) is None
 
 
-def test_entry_of_a_worker_is_read():
-    """Capacity, labels and the start of its life are decoded."""
+def test_registry_entry_is_decoded():
+    """A report has the entry's values; an unknown field is ignored."""
     value = {
         "service": "s",
         "address": "10.0.0.1:80",
@@ -84,15 +84,15 @@
 
 
 def test_task_names_round_trip():
-    """A task's name is read as it was written; others name nothing."""
+    """A formatted name is parsed back; other texts give None."""
     name = wire.parse_task_name("ab.0.1.17")
     assert wire.format_task_name(name) == "ab.0.1.17"
     assert wire.parse_task_name("ab.0.x.1") is None
     assert wire.parse_task_name("") is None
 
 
-def test_all_faults_of_the_settings_are_listed():
-    """Missing, mistyped and senseless fields are named together."""
+def test_all_invalid_settings_are_listed():
+    """Missing, mistyped and out-of-range fields are reported together."""
     document = {
         "nodeName": 3,
         "zone": "a",
@@ -102,12 +102,12 @@
         "listen": {"front": "127.0.0.1:1", "ready": "x"},
         "bounds": {"holdMaxMs": -1},
     }
-    faults = boot.check_document(document).error
-    assert {fault.key for fault in faults} == {
+    invalid = boot.check_document(document).error
+    assert {setting.key for setting in invalid} == {
         "nodeName",
         "portRange",
         "listen.ready",
         "bounds.holdMaxMs",
         "platform.address",
     }
-    assert all(fault.remedy for fault in faults)
+    assert all(setting.remedy for setting in invalid)
--- a/packages/cicadafold/src/cicadafold/platform/wire.py
+++ b/packages/cicadafold/src/cicadafold/platform/wire.py
@@ -81,10 +81,7 @@
 
 
 class WireAdvice(msgspec.Struct):
-    """Cost of a call to the advice service, in total and for each worker.
-
-    ``validMs`` is the time for which a ticket is valid.
-    """
+    """Cost of a call for advice, whose tickets are valid for ``validMs``."""
 
     decideMs: float = 0  # noqa: N815
     eachMs: float = 0  # noqa: N815
@@ -147,11 +144,9 @@
     Attributes:
         service: Name of the worker's pool.
         zone: Failure domain.
-        labels: Labels; one of them names the rack.
         born: Unix time in milliseconds at which this incarnation started.
         sequence: Number of the report within the incarnation.
-        remainingMs: While draining, the least number of milliseconds until
-            the worker stops.
+        remainingMs: Least time until the worker stops, while it drains.
     """
 
     service: str
--- a/packages/cicadafold/src/cicadafold/settings/__init__.py
+++ b/packages/cicadafold/src/cicadafold/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of an entry host, checked whole before it starts."""
+"""Settings of an entry host, checked completely before it starts."""
--- a/packages/cicadafold/src/cicadafold/settings/check.py
+++ b/packages/cicadafold/src/cicadafold/settings/check.py
@@ -1,4 +1,4 @@
-"""Checks a settings file whole and lists every fault with its remedy."""
+"""Reads a settings file and lists all its invalid settings with remedies."""
 
 import pathlib
 import tomllib
@@ -12,7 +12,13 @@
 
 
 class InvalidSetting(msgspec.Struct, kw_only=True):
-    """A fault of a settings file."""
+    """An invalid setting in a settings file.
+
+    Attributes:
+        key: Dotted key of the setting, or the path of an unreadable file.
+        found: Description of what the file contains.
+        remedy: How to correct it, as one sentence.
+    """
 
     key: str
     found: str
@@ -23,7 +29,7 @@
 
 
 class Settings:
-    """Checked settings, read by their dotted keys.
+    """Checked settings by their dotted keys.
 
     Examples:
         >>> Settings(values={"member.name": "entry-1"})["member.name"]
@@ -44,7 +50,8 @@
         path: Path of a TOML file.
 
     Returns:
-        ``Ok`` with the settings, or ``Error`` with a list of faults.
+        ``Ok`` with the ``Settings``, or ``Error`` with the list of all
+        ``InvalidSetting``.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -57,42 +64,42 @@
 
 
 def unreadable_file(path, error, remedy):
-    """Returns the error of a file that cannot be read."""
-    fault = InvalidSetting(key=str(path), found=str(error), remedy=remedy)
-    return expression.Error([fault])
+    """Returns the ``Error`` for a settings file that cannot be read."""
+    problem = InvalidSetting(key=str(path), found=str(error), remedy=remedy)
+    return expression.Error([problem])
 
 
 def check_document(document):
     """Checks a parsed settings file.
 
     Args:
-        document: Nested tables as TOML gives them.
+        document: Nested tables as ``tomllib`` returns them.
 
     Returns:
-        ``Ok`` with the settings, or ``Error`` with a list of faults.
+        The same as ``load``.
     """
     found = flatten(document)
-    faults = []
+    invalid = []
     values = {}
     for setting in table.SETTINGS:
         value = found.pop(setting.key, setting.default)
-        fault = check_value(setting, value)
-        if fault is not None:
-            faults.append(fault)
+        problem = check_value(setting, value)
+        if problem is not None:
+            invalid.append(problem)
         elif setting.type is float:
             values[setting.key] = float(value)
         else:
             values[setting.key] = value
-    faults.extend(unknown_key(key) for key in sorted(found))
-    if not faults:
-        faults.extend(check_combinations(values))
-    if faults:
-        return expression.Error(faults)
+    invalid.extend(unknown_key(key) for key in sorted(found))
+    if not invalid:
+        invalid.extend(check_combinations(values))
+    if invalid:
+        return expression.Error(invalid)
     return expression.Ok(Settings(values=values))
 
 
 def flatten(document):
-    """Returns the values by dotted key."""
+    """Returns the values of a parsed settings file by dotted key."""
     tables = {s.key for s in table.SETTINGS if s.type is dict}
     values = {}
     for section, content in document.items():
@@ -109,7 +116,7 @@
 
 
 def check_value(setting, value):
-    """Returns the fault of a value, or None."""
+    """Returns the ``InvalidSetting`` for a value, or None if it is valid."""
     if value is None:
         return InvalidSetting(
             key=setting.key, found="nothing", remedy=setting.remedy
@@ -125,7 +132,7 @@
 
 
 def unknown_key(key):
-    """Returns the fault of a key that no setting has."""
+    """Returns the ``InvalidSetting`` for a key that does not exist."""
     return InvalidSetting(
         key=key,
         found="an unknown key",
@@ -134,7 +141,7 @@
 
 
 def check_combinations(values):
-    """Returns the faults of values that do not go together."""
+    """Yields an ``InvalidSetting`` for each invalid combination of values."""
     tls = [
         key
         for key in ("tls_certificate", "tls_key", "tls_listen")
--- a/packages/cicadafold/src/cicadafold/settings/table.py
+++ b/packages/cicadafold/src/cicadafold/settings/table.py
@@ -1,4 +1,4 @@
-"""The table of all settings: key, type, unit, default and check."""
+"""The table of all settings: key, type, unit, meaning, default and check."""
 
 import ipaddress
 
@@ -16,11 +16,12 @@
     Attributes:
         key: Dotted path in the TOML file.
         type: Python type of the value.
-        unit: Unit of a number, or a word for the kind of text.
-        meaning: What the setting does, for the operators' page.
+        unit: Unit of a number, or the kind of a text, such as ``address``.
+        meaning: Description of the setting in the operators' manual.
         default: Value if the key is absent; None makes it required.
-        check: Function that tells whether a value makes sense.
-        remedy: What to write instead.
+        check: Predicate of valid values, or None if all values of the type
+            are valid.
+        remedy: How to correct an invalid value, as one sentence.
     """
 
     key: str
@@ -33,7 +34,7 @@
 
 
 def is_address(value):
-    """Whether a text is an IP number and a port.
+    """Whether a text consists of an IP number and a port.
 
     Examples:
         >>> is_address("127.0.0.1:9001"), is_address("localhost:9001")
@@ -50,7 +51,7 @@
 
 
 def is_name(value):
-    """Whether a text is a short name without blanks."""
+    """Whether a text has 1 to 64 printable characters and no spaces."""
     return 0 < len(value) <= 64 and value.isprintable() and " " not in value
 
 
@@ -138,7 +139,7 @@
         key="platform.accept_lost_state",
         type=bool,
         unit="true or false",
-        meaning="Begin with what is left after the log lost the state.",
+        meaning="Start with the remaining state if the log has lost records.",
         default=False,
         remedy="Write true or false; true only for one start.",
     ),
@@ -252,7 +253,7 @@
 
 
 def markdown():
-    """Yields the lines of a table of all settings."""
+    """Yields the lines of the settings table in the operators' manual."""
     yield "| setting | unit | default | meaning |"
     yield "|---|---|---|---|"
     for setting in SETTINGS:
--- a/packages/cicadafold/src/cicadafold/settings/tests/test_check.py
+++ b/packages/cicadafold/src/cicadafold/settings/tests/test_check.py
@@ -1,4 +1,4 @@
-"""Every fault of a settings file is listed with its remedy."""
+"""Tests that all invalid settings of a file are listed with remedies."""
 
 import pytest
 
@@ -16,12 +16,13 @@
 }
 
 
-def faults_of(**changes):
+def invalid_settings(**changes):
+    """Returns the invalid settings of a changed valid document by key."""
     document = {name: dict(content) for name, content in VALID.items()}
     for section, content in changes.items():
         document.setdefault(section, {}).update(content)
     result = check.check_document(document)
-    return {} if result.is_ok() else {f.key: f for f in result.error}
+    return {} if result.is_ok() else {s.key: s for s in result.error}
 
 
 def test_valid_settings_have_their_defaults():
@@ -30,19 +31,19 @@
     assert result.ok["platform.routes"] == {}
 
 
-def test_all_faults_are_listed_at_once():
-    faults = faults_of(
+def test_all_invalid_settings_are_listed_at_once():
+    invalid = invalid_settings(
         member={"listen": "localhost:9001", "nmae": "x"},
         platform={"log": 7},
         drain={"grace_s": -1},
     )
-    assert set(faults) == {
+    assert set(invalid) == {
         "member.listen",
         "member.nmae",
         "platform.log",
         "drain.grace_s",
     }
-    assert "IP number" in faults["member.listen"].remedy
+    assert "IP number" in invalid["member.listen"].remedy
 
 
 @pytest.mark.parametrize(
@@ -54,16 +55,16 @@
         {"logging": {"level": "LOUD"}},
     ],
 )
-def test_fault_is_found(changes):
-    assert faults_of(**changes)
+def test_invalid_setting_is_found(changes):
+    assert invalid_settings(**changes)
 
 
 def test_secrets_are_not_shown():
-    faults = faults_of(security={"caller_token": 123456})
-    assert "123456" not in str(faults["security.caller_token"])
+    invalid = invalid_settings(security={"caller_token": 123456})
+    assert "123456" not in str(invalid["security.caller_token"])
 
 
-def test_missing_file_and_bad_toml_are_faults(tmp_path):
+def test_missing_file_and_bad_toml_are_errors(tmp_path):
     assert check.load(tmp_path / "absent.toml").is_error()
     path = tmp_path / "bad.toml"
     path.write_text("member = [")
--- a/packages/cicadafold/src/cicadafold/telemetry/__init__.py
+++ b/packages/cicadafold/src/cicadafold/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Logs, metrics and the recorded events of requests."""
+"""Logs, metrics and the events of requests."""
--- a/packages/cicadafold/src/cicadafold/telemetry/events.py
+++ b/packages/cicadafold/src/cicadafold/telemetry/events.py
@@ -1,4 +1,4 @@
-"""Recorded events of requests, for ``explain``."""
+"""Events of requests, which the call ``explain`` returns."""
 
 import collections
 import time
@@ -13,12 +13,15 @@
 
 
 class RequestEvents:
-    """The last events of the last requests that this process saw.
+    """Events of the latest requests that this process has handled.
+
+    Args:
+        member: Name of this process.
 
     Examples:
-        >>> book = RequestEvents(member="entry-1")
-        >>> book.add("r1", "Queued behind 3 urgent requests.")
-        >>> [event.text for event in book.events("r1")]
+        >>> recorded = RequestEvents(member="entry-1")
+        >>> recorded.add("r1", "Queued behind 3 urgent requests.")
+        >>> [event.text for event in recorded.events("r1")]
         ['Queued behind 3 urgent requests.']
     """
 
@@ -27,12 +30,15 @@
         self.by_request = collections.OrderedDict()
 
     def add(self, request_id, text, *values):
-        """Records an event; the oldest request is dropped when full.
+        """Records an event.
+
+        Beyond ``MAX_REQUESTS`` the oldest request is dropped; beyond
+        ``MAX_EVENTS_PER_REQUEST`` further events of a request are ignored.
 
         Args:
             request_id: Identifier of the request.
             text: Sentence, with a ``%`` placeholder for each value.
-            values: Values that are put in when the events are read.
+            *values: Values that are formatted when the events are read.
         """
         events = self.by_request.get(request_id)
         if events is None:
@@ -43,7 +49,7 @@
             events.append((time.time(), text, values))
 
     def events(self, request_id):
-        """Returns the events of a request as the schema's messages."""
+        """Returns the events of a request as ``messages.Event`` objects."""
         return [
             messages.Event(
                 at_ms=int(at * MILLISECONDS),
--- a/packages/cicadafold/src/cicadafold/telemetry/logs.py
+++ b/packages/cicadafold/src/cicadafold/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""JSON logs: short sentences with a fixed prefix for each part."""
+"""JSON logs, in which each subsystem has a message prefix."""
 
 import logging
 import sys
@@ -11,32 +11,32 @@
 
 
 class PrefixAdapter(logging.LoggerAdapter):
-    """Puts the prefix of its part before each sentence."""
+    """Adds the prefix of a subsystem to each message."""
 
     def process(self, msg, kwargs):
-        """Adds the prefix and moves keyword fields to the record."""
+        """Adds the prefix, and moves ``fields`` to the log record."""
         fields = kwargs.pop("fields", {})
         kwargs["extra"] = fields
-        return f"{self.extra['part']}: {msg}", kwargs
+        return f"{self.extra['prefix']}: {msg}", kwargs
 
 
-def get_logger(part):
-    """Returns the logger of one part of the system.
+def get_logger(prefix):
+    """Returns the logger of a subsystem.
 
     Args:
-        part: Prefix of the part, for example ``ownership``.
+        prefix: Prefix of its messages, for example ``ownership``.
     """
-    return PrefixAdapter(logging.getLogger(ROOT), {"part": part})
+    return PrefixAdapter(logging.getLogger(ROOT), {"prefix": prefix})
 
 
 def configure(*, member, level="INFO", stream=sys.stderr, handler=None):
-    """Sends JSON lines to a stream, or to a handler.
+    """Configures the logs of this process as lines of JSON.
 
     Args:
-        member: Name of the entry host, put in each line.
-        level: Name of the lowest level that is written.
-        stream: Where the lines go.
-        handler: Handler to use in place of the stream, or None.
+        member: Name of the entry host, added to each line.
+        level: Name of the lowest level that is logged.
+        stream: Stream to which the lines are written.
+        handler: Handler that replaces the stream, or None.
     """
     handler = handler or logging.StreamHandler(stream)
     handler.setFormatter(
--- a/packages/cicadafold/src/cicadafold/telemetry/metrics.py
+++ b/packages/cicadafold/src/cicadafold/telemetry/metrics.py
@@ -14,7 +14,7 @@
 
 
 class Metrics:
-    """Counters, gauges and histograms of one process.
+    """Counters and histograms of one process.
 
     Examples:
         >>> metrics = Metrics()
@@ -28,11 +28,17 @@
         self.histograms = {}
 
     def count(self, name, amount=1, **labels):
-        """Adds to a counter."""
+        """Adds an amount to the counter of a name and labels."""
         self.counters[(name, tuple(labels.items()))] += amount
 
     def record_us(self, name, value_us, **labels):
-        """Records a duration in microseconds."""
+        """Records a duration in the histogram of a name and labels.
+
+        Args:
+            name: Name of the histogram.
+            value_us: Duration in microseconds.
+            **labels: Labels of the histogram.
+        """
         key = (name, tuple(labels.items()))
         found = self.histograms.get(key)
         if found is None:
@@ -43,10 +49,10 @@
         found.record_value(max(LOWEST_US, int(value_us)))
 
     def render(self, gauges=None):
-        """Renders all metrics as Prometheus text.
+        """Returns all metrics in the Prometheus text format.
 
         Args:
-            gauges: Map from name to current value.
+            gauges: Current values of further metrics by name, or None.
         """
         lines = []
         for (name, labels), value in sorted(self.counters.items()):
@@ -59,7 +65,7 @@
 
 
 def render_histogram(name, labels, found):
-    """Renders one histogram as a Prometheus summary."""
+    """Yields the lines of a histogram as a Prometheus summary."""
     for quantile in QUANTILES:
         extended = (*labels, ("quantile", quantile / PERCENT))
         value = found.get_value_at_percentile(quantile)
@@ -69,7 +75,7 @@
 
 
 def label_text(labels):
-    """Formats labels as Prometheus does."""
+    """Formats labels in the Prometheus text format."""
     if not labels:
         return ""
     inner = ",".join(f'{name}="{value}"' for name, value in labels)
--- a/packages/cicadafold/src/cicadafold/telemetry/rate_limited.py
+++ b/packages/cicadafold/src/cicadafold/telemetry/rate_limited.py
@@ -1,4 +1,4 @@
-"""Writes log lines without ever waiting, up to a rate."""
+"""Log handler that never blocks and limits the rate of lines."""
 
 import logging
 import os
@@ -6,18 +6,27 @@
 
 __all__ = ["RateLimitedHandler"]
 
-# Lines a second that a busy scheduler writes, about 150, with room for
-# bursts; a line takes about 30 microseconds to write.
+# A busy scheduler writes about 150 lines a second; the limits leave a margin
+# for bursts. Writing a line takes about 30 microseconds.
 LINES_PER_S = 500
 BURST_LINES = 1000
 
 
 class RateLimitedHandler(logging.Handler):
-    """Writes to a descriptor; lines over the rate are counted and dropped.
+    """Writes log lines to a file descriptor at a limited rate.
+
+    The limit is a token bucket. Lines that exceed it, and lines for which
+    the descriptor would block, are dropped; the next line that is written
+    follows a line with their number.
 
     Args:
-        descriptor: Open file descriptor; it is set not to block.
-        clock: Function that returns seconds.
+        descriptor: Open file descriptor, which is set to non-blocking.
+        clock: Function that returns the monotonic time in seconds.
+
+    Attributes:
+        tokens: Number of lines that may be written at once.
+        updated_s: Time at which ``tokens`` was last increased.
+        dropped: Lines dropped since the last report of their number.
     """
 
     def __init__(self, *, descriptor, clock=time.monotonic):
@@ -25,15 +34,15 @@
         self.descriptor = descriptor
         self.clock = clock
         self.tokens = float(BURST_LINES)
-        self.at_s = clock()
+        self.updated_s = clock()
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def emit(self, record):
-        """Writes one record if the rate allows it."""
+        """Writes a log record, or drops it if the rate is exceeded."""
         now_s = self.clock()
-        gained = (now_s - self.at_s) * LINES_PER_S
-        self.at_s = now_s
+        gained = (now_s - self.updated_s) * LINES_PER_S
+        self.updated_s = now_s
         self.tokens = min(BURST_LINES, self.tokens + gained)
         if self.tokens < 1:
             self.dropped += 1
@@ -45,7 +54,7 @@
         self.write(record)
 
     def report(self, count):
-        """Returns a record that tells how many lines were dropped."""
+        """Returns a log record with the number of dropped lines."""
         return logging.LogRecord(
             "cicadafold",
             logging.WARNING,
@@ -57,7 +66,7 @@
         )
 
     def write(self, record):
-        """Writes one line; one that would have to wait is dropped."""
+        """Writes a log record as one line, or drops it if that would block."""
         try:
             line = self.format(record) + "\n"
             os.write(self.descriptor, line.encode())
--- a/packages/cicadafold/src/cicadafold/telemetry/tests/test_rate_limited.py
+++ b/packages/cicadafold/src/cicadafold/telemetry/tests/test_rate_limited.py
@@ -1,4 +1,4 @@
-"""Tests of the bounded log handler."""
+"""Tests of the rate-limited log handler."""
 
 import logging
 import os
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def pipe():
-    """A pipe that nobody reads yet."""
+    """Yields the read end and the write end of a pipe."""
     ends = os.pipe()
     yield ends
     for end in ends:
@@ -18,12 +18,12 @@
 
 
 def record(text):
-    """Returns a log record."""
+    """Returns a log record with a message."""
     return logging.LogRecord("x", logging.INFO, "", 0, text, (), None)
 
 
 def test_lines_over_the_rate_are_dropped_and_counted(pipe):
-    """A flood is cut, and the next line that fits tells how much."""
+    """The next line within the rate follows the number of dropped lines."""
     reader, writer = pipe
     now = [0.0]
     handler = rate_limited.RateLimitedHandler(
@@ -38,8 +38,8 @@
     assert lines[-2:] == ["logs: 7 lines were dropped.", "b"]
 
 
-def test_reader_that_does_not_read_stops_nothing(pipe):
-    """A full pipe drops lines instead of blocking the process."""
+def test_full_pipe_does_not_block(pipe):
+    """If nobody reads the pipe, lines are dropped instead of blocking."""
     _, writer = pipe
     handler = rate_limited.RateLimitedHandler(descriptor=writer)
     for _ in range(100):
