--- a/packages/cicadafold/src/cicadafold/dispatch/inherited_runs.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/inherited_runs.py
@@ -49,7 +49,9 @@
         self.workers = workers
         self.store = store
         self.leases_lapsed_ms = (
-            term_started_ms + lease_ms * runs.SLOW_CLOCK + runs.LAPSE_MARGIN_MS
+            term_started_ms
+            + lease_ms * runs.SLOW_CLOCK_FACTOR
+            + runs.LEASE_MARGIN_MS
         )
         self.term_started_ms = term_started_ms
         self.has_record = False
@@ -93,7 +95,8 @@
         """
         answers = worker.silent_since_ms is None
         if not worker.report.draining and (
-            answers or not (worker.closed or self.is_long_silent(worker))
+            answers
+            or not (worker.closed_to_starts or self.is_long_silent(worker))
         ):
             return None
         if worker.fenced:
--- a/packages/cicadafold/src/cicadafold/dispatch/term.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/term.py
@@ -4,12 +4,12 @@
 
 from cicadafold import clock
 from cicadafold.dispatch import advising
-from cicadafold.dispatch import dropping
 from cicadafold.dispatch import handover
 from cicadafold.dispatch import inherited_runs
 from cicadafold.dispatch import job_table
 from cicadafold.dispatch import pacing
 from cicadafold.dispatch import placing
+from cicadafold.dispatch import record_cleanup
 from cicadafold.dispatch import stall_detector
 from cicadafold.dispatch import unknown_job_runs
 from cicadafold.dispatch import watching
@@ -92,7 +92,7 @@
         )
         self.ended = asyncio.Event()
         self.end_reason = ""
-        self.estimates = estimates.Estimates()
+        self.estimates = estimates.DurationEstimates()
         self.task_group = None
         self.journal = progress_writer.ProgressWriter(
             store=store,
@@ -100,11 +100,11 @@
             metrics=metrics,
             on_durable=self.on_durable,
         )
-        self.dropper = dropping.RecordDropper(
+        self.record_cleaner = record_cleanup.RecordCleaner(
             store=store,
             journal=self.journal,
             status_s=status_s,
-            forget=self.forget_job,
+            on_end_dropped=self.forget_job,
         )
         self.worker_table = worker_table.WorkerTable(
             term=number,
@@ -129,7 +129,7 @@
         )
         self.job_table = job_table.JobTable(
             journal=self.journal,
-            learned=self.estimates,
+            estimates=self.estimates,
             stop_run=lambda run: self.events.stop_run(run),
             metrics=metrics,
         )
@@ -139,7 +139,7 @@
         self.job_table.on_durable(states)
         for job, state in states:
             if state.final:
-                self.dropper.add(job.spec.id)
+                self.record_cleaner.add(job.spec.id)
 
     def forget_job(self, job_id):
         """Forgets a job that nobody asks for any more."""
@@ -193,21 +193,23 @@
         self.placer = placing.Placer(
             term=self.number,
             table=self.job_table,
-            learned=self.estimates,
+            estimates=self.estimates,
             workers=self.worker_table.workers,
             links=self.worker_table.links,
-            settled=self.inherited_runs.all_runs_known,
-            steady=self.commands_allowed,
+            all_runs_known=self.inherited_runs.all_runs_known,
+            commands_allowed=self.commands_allowed,
             spawn=self.task_group.create_task,
             lease=self.lease,
             metrics=self.metrics,
         )
         if self.uses_advice:
-            self.placer.desk = advising.AdviceDesk(
-                lines=self.list_peers,
+            self.placer.advice_dispatcher = advising.AdviceDispatcher(
+                peers=self.list_peers,
                 spawn=self.task_group.create_task,
                 wake=self.placer.wake,
-                learn=self.placer.tickets.learn,
+                record_permitted_share=(
+                    self.placer.ticket_planner.record_permitted_share
+                ),
                 metrics=self.metrics,
             )
         self.task_group.create_task(self.stall_detector.run())
@@ -259,7 +261,7 @@
         self.ready = True
         spawn(self.placer.run())
         spawn(self.watcher.run())
-        spawn(self.dropper.run())
+        spawn(self.record_cleaner.run())
         pacer = pacing.Pacer(
             workers=self.worker_table.workers, links=self.worker_table.links
         )
@@ -284,8 +286,8 @@
         for job, progress in state.progress.items():
             if job not in state.specs:
                 self.job_table.restore_ended(job, progress)
-                self.dropper.add(job)
-        self.dropper.homes = state.partitions
+                self.record_cleaner.add(job)
+        self.record_cleaner.partitions = state.partitions
 
     async def run_handover(self):
         """Ends the term when another process takes it over."""
@@ -323,7 +325,7 @@
         spec = state.specs.get(job_id)
         if job_id in self.job_table.ended:
             # It came again after its end; its record is dropped again.
-            self.dropper.add(job_id)
+            self.record_cleaner.add(job_id)
             return
         if job is None and spec is not None:
             # A host may still have told the last scheduler of it.
@@ -410,4 +412,4 @@
         """
         if not self.ready or not self.jobs_up_to_date():
             raise scheduler_client.starting_error()
-        return self.job_table.pending(queue)
+        return self.job_table.count_unstarted(queue)
--- a/packages/cicadafold/src/cicadafold/telemetry/logs.py
+++ b/packages/cicadafold/src/cicadafold/telemetry/logs.py
@@ -17,7 +17,7 @@
         """Adds the prefix, and moves ``fields`` to the log record."""
         fields = kwargs.pop("fields", {})
         kwargs["extra"] = fields
-        return f"{self.extra['prefix']}: {msg}", kwargs
+        return f"{self.extra['part']}: {msg}", kwargs
 
 
 def get_logger(prefix):
@@ -26,7 +26,7 @@
     Args:
         prefix: Prefix of its messages, for example ``ownership``.
     """
-    return PrefixAdapter(logging.getLogger(ROOT), {"prefix": prefix})
+    return PrefixAdapter(logging.getLogger(ROOT), {"part": prefix})
 
 
 def configure(*, member, level="INFO", stream=sys.stderr, handler=None):
