--- a/packages/cicadafold/src/cicadafold/dispatch/term.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/term.py
@@ -28,14 +28,15 @@
 
 __all__ = ["Term", "TermEnded"]
 
-# Jobs are known without much delay while each partition of the journal was
+# New jobs are known without much delay if every partition of the journal was
 # read within this time.
 MAX_TAIL_AGE_S = 1.6
 # A term whose recovery takes longer reports itself as degraded, so that
 # another process takes over.
 MAX_RECOVERY_MS = 3500.0
-# Time within which all entry hosts send accepted jobs to the scheduler of a
-# new term.
+# Time after the start of a term by which all entry hosts notify its scheduler
+# of accepted jobs. An earlier scheduler may have started jobs that are read
+# from the journal before that.
 INHERITED_PERIOD_MS = 2000.0
 
 LOG = logs.get_logger("term")
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -238,7 +238,7 @@
                 fields={"worker": worker.report.id, "silent_ms": silent_ms},
             )
         ended = {(end.name, end.attempt) for end in inventory.ends}
-        listed = {(row.name, row.attempt) for row in inventory.rows} | ended
+        listed = {(row.name, row.attempt) for row in inventory.running} | ended
         if worker.born_ms not in (None, inventory.born_ms):
             self.on_new_incarnation(inventory, listed, sent_ms)
         if not worker.fenced or worker.silent_since_ms is not None:
@@ -248,7 +248,7 @@
         worker.mark_answering()
         worker.fenced = True
         self.ends_deferred = not all(map(self.apply_end, inventory.ends))
-        self.apply_progress(inventory.rows, now_ms)
+        self.apply_progress(inventory.running, now_ms)
         self.remove_missing(listed, sent_ms)
         self.events.on_capacity_changed()
 
--- a/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
+++ b/packages/cicadafold/src/cicadafold/election/tests/test_terms.py
@@ -29,7 +29,7 @@
     async def read(self, topic, partition, start, *, wait_ms=0):
         """Returns the entries from an offset on, once reads are allowed."""
         await self.reads_allowed.wait()
-        return log_store.ReadPage(len(self.entries), self.entries[start:])
+        return log_store.Page(len(self.entries), self.entries[start:])
 
     async def append(self, topic, partition, entries, *, at=None):
         """Appends entries if the partition ends at the expected offset."""
