--- a/packages/cicadafold/src/cicadafold/platform/codec.py
+++ b/packages/cicadafold/src/cicadafold/platform/codec.py
@@ -3,10 +3,10 @@
 import struct
 
 __all__ = [
-    "encode_records",
-    "encode_keyed",
     "decode_keyed",
     "decode_records",
+    "encode_keyed",
+    "encode_records",
 ]
 
 # Length of a record in bytes, before the record.
--- a/packages/cicadafold/src/cicadafold/platform/http_adapters.py
+++ b/packages/cicadafold/src/cicadafold/platform/http_adapters.py
@@ -56,7 +56,7 @@
             raise refused_append(error) from error
         except TRANSPORT_ERRORS as error:
             raise exception.LinkLost(
-                message=f"The log's answer was lost: {error!r}.",
+                message=f"The log did not answer an append: {error!r}.",
                 remedy="Append again; records carry identifiers.",
             ) from error
 
--- a/packages/cicadafold/src/cicadafold/platform/job_server.py
+++ b/packages/cicadafold/src/cicadafold/platform/job_server.py
@@ -16,7 +16,7 @@
 
 TIMEOUT_HEADER = "Cicadafold-Timeout-Ms"
 DEFAULT_TIMEOUT_MS = 3000.0
-# Part of the caller's timeout that is left for the answer to arrive.
+# Part of the caller's timeout that is reserved for sending the answer.
 ANSWER_MARGIN_S = 0.15
 # Limit for queries of state, which callers repeat after a failure.
 QUERY_TIMEOUT_S = 1.5
@@ -106,7 +106,7 @@
         return await handler(request, rule, job)
 
     async def submit(self, request, rule, job):
-        """Accepts a job."""
+        """Decodes and accepts a submitted job."""
         deadline_s = request_deadline(request)
         limit = self.routes.current.max_body_bytes
         if (request.content_length or 0) > limit:
--- a/packages/cicadafold/src/cicadafold/platform/messages.py
+++ b/packages/cicadafold/src/cicadafold/platform/messages.py
@@ -1,7 +1,4 @@
-"""Messages of the platform's log service, host list and targets.
-
-The field names are the platform's.
-"""
+"""Messages of the platform's log service, host list and targets."""
 
 import enum
 
--- a/packages/cicadafold/src/cicadafold/platform/wire.py
+++ b/packages/cicadafold/src/cicadafold/platform/wire.py
@@ -22,10 +22,7 @@
 
 
 class WireResources(msgspec.Struct):
-    """Resources that a task needs or a worker offers.
-
-    ``cpu`` is in thousandths of a core, ``gpu`` counts accelerators.
-    """
+    """Resources of a task or worker; ``cpu`` in thousandths of a core."""
 
     cpu: int = 0
     memMb: int = 0  # noqa: N815
@@ -81,7 +78,10 @@
 
 
 class WireAdvice(msgspec.Struct):
-    """Cost of a call for advice, whose tickets are valid for ``validMs``."""
+    """Cost of a call for advice: a base, and a part for each worker.
+
+    ``validMs`` is the time for which the tickets are valid.
+    """
 
     decideMs: float = 0  # noqa: N815
     eachMs: float = 0  # noqa: N815
@@ -164,8 +164,7 @@
 decode_configuration = msgspec.json.Decoder(WireConfiguration).decode
 decode_server = msgspec.json.Decoder(WireServer).decode
 
-# Whether a worker in this state is draining.
-STATES = {"ready": False, "draining": True}
+DRAINING_BY_STATE = {"ready": False, "draining": True}
 
 
 def parse_job(body, *, job, rule, accepted_ms, waited_ms=0):
@@ -179,7 +178,7 @@
         waited_ms: Milliseconds that the call had waited before.
 
     Raises:
-        ValueError: The body is not a valid job; the message says why.
+        ValueError: The body cannot be decoded, or a value is out of range.
     """
     found = decode_job(body)
     if not found.steps:
@@ -285,7 +284,7 @@
     """Decodes the configuration that the operators publish.
 
     Raises:
-        ValueError: The document is not valid.
+        ValueError: The body cannot be decoded.
     """
     found = decode_configuration(body)
     queues = {route.name: parse_queue_rule(route) for route in found.routes}
@@ -331,7 +330,7 @@
         found = decode_server(value)
     except (ValueError, msgspec.MsgspecError):
         return None
-    draining = STATES.get(found.state)
+    draining = DRAINING_BY_STATE.get(found.state)
     if draining is None:
         return None
     return model.HostReport(
--- a/packages/cicadafold/src/cicadafold/platform/worker_client.py
+++ b/packages/cicadafold/src/cicadafold/platform/worker_client.py
@@ -263,7 +263,7 @@
 
 
 def decode_inventory(body):
-    """Decodes the body of an answer to ``hold``.
+    """Decodes the answer to ``hold``, the platform's name for a renewal.
 
     Raises:
         TargetUnreachable: The body is not a valid inventory.
