--- a/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
@@ -12,7 +12,7 @@
 from cicadafold.ownership import target_link
 from cicadafold.ownership import work as rack_work
 from cicadafold.peerlink import frames
-from cicadafold.placement import lanes
+from cicadafold.placement import request_queue
 from cicadafold.placement import routing
 from cicadafold.platform import messages as platform
 from cicadafold_schema import messages
@@ -82,13 +82,13 @@
         )
     made = routing.Routing(hosts=table, view=view, region="r1")
     kind = memory.make_kind()
-    for number in range(routing.HOME_BUCKETS * 3):
+    for number in range(routing.REQUEST_BUCKETS * 3):
         next(made.candidates(f"warm-{number}", "r1", kind, 0))
     times = []
     for number in range(DECISIONS):
         began = time.perf_counter()
         rack = next(made.candidates(f"q{number}", "r1", kind, 0))
-        made.rack_with_room(rack, kind, wait_ms=0, price_ms=1, headroom=0)
+        made.find_redirect_rack(rack, kind, wait_ms=0, price_ms=1, headroom=0)
         times.append((time.perf_counter() - began) * MICROSECONDS)
     return percentile(times, 0.5), percentile(times, 0.99)
 
@@ -276,7 +276,7 @@
 def measure_teams(count):
     """Returns the microseconds of serving the fairest team, p99."""
     kind = memory.make_kind(lane=messages.Lane.patient)
-    queue = lanes.Lanes()
+    queue = request_queue.RequestQueue()
     for number in range(count * 4):
         queue.push(
             rack_work.Work(
@@ -290,9 +290,9 @@
     times = []
     for _ in range(min(DECISIONS, count * 3)):
         began = time.perf_counter()
-        work = queue.first_patient(lambda team: True)
+        work = queue.peek_patient(lambda team: True)
         queue.remove(work)
-        queue.charge(work, cost=1.0, weight=1)
+        queue.charge_team(work, cost=1.0, weight=1)
         times.append((time.perf_counter() - began) * MICROSECONDS)
     return percentile(times, 0.99)
 
--- a/packages/cicadafold/src/cicadafold/daemon/node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/node.py
@@ -79,7 +79,7 @@
         self.incarnation = uuid.uuid4().hex[:8]
         self.metrics = metrics.Metrics()
         self.events = events.RequestEvents(member=self.name)
-        self.burn = burn.BurnBook()
+        self.burn = burn.AnswerCounts()
         self.stop_requested = asyncio.Event()
         self.kinds_revision = -1
         self.kinds = {}
@@ -159,11 +159,11 @@
             token=token,
             own_digests=self.own_digests,
         )
-        self.links = client.PeerLinks(
+        self.links = client.LaneLinks(
             session=self.session,
             token=token,
             resolve=self.resolve,
-            on_lost=self.gossiper.doubt,
+            on_lost=self.gossiper.schedule_probe,
         )
         self.coordinator.start()
         self.tail.listen(self.on_records)
@@ -280,7 +280,7 @@
         for record in found:
             own_claim = isinstance(record, records.Claim) and not record.writer
             if own_claim or isinstance(record, WRITTEN_BY_MEMBER):
-                self.view.note_record(record.member, record.incarnation)
+                self.view.record_log_append(record.member, record.incarnation)
 
     def call_soon(self, function):
         """Calls a function in the next iteration of the event loop."""
@@ -421,7 +421,7 @@
             wait_ms: Expected wait on that rack in milliseconds.
         """
         configuration = self.tail.state.configuration
-        return self.routing.rack_with_room(
+        return self.routing.find_redirect_rack(
             own_rack,
             kind,
             wait_ms=wait_ms,
--- a/packages/cicadafold/src/cicadafold/hosts.py
+++ b/packages/cicadafold/src/cicadafold/hosts.py
@@ -44,7 +44,7 @@
             headroom: Slots of each worker that stay free, each with its
                 share of the cores and memory.
         """
-        size = capacity.size_of_kind(kind)
+        size = capacity.resources_of_kind(kind)
         count = 0
         for empty in self.capacities:
             count += count_fitting_tasks(empty, size, headroom, kind.tasks)
--- a/packages/cicadafold/src/cicadafold/membership/gossip.py
+++ b/packages/cicadafold/src/cicadafold/membership/gossip.py
@@ -16,10 +16,10 @@
 __all__ = ["Gossiper", "PERIOD_S"]
 
 PERIOD_S = 0.6
-ASK_AFTER_S = 2.0
-PROBES_IN_DOUBT = 2
+DIRECT_EXCHANGE_AFTER_S = 2.0
+PROBE_ATTEMPTS = 2
 MAX_DIGESTS = 8
-MAX_PULSES = 32
+MAX_HEARTBEATS = 32
 TIMEOUT_S = 0.5
 
 LOG = logs.get_logger("member")
@@ -37,10 +37,10 @@
         self.resolve = resolve
         self.headers = {"Authorization": f"Bearer {token}"} if token else {}
         self.own_digests = own_digests
-        self.random = random.Random()
-        self.order = []
-        self.alive_names = set()
-        self.woken = asyncio.Event()
+        self.rng = random.Random()
+        self.round_order = []
+        self.logged_alive = set()
+        self.wake_event = asyncio.Event()
         self.exchanges = {}
 
     async def run(self):
@@ -50,15 +50,15 @@
         keep this member from hearing of the others.
         """
         while True:
-            self.view.beat()
-            for peer in (self.next_peer(), self.most_silent()):
+            self.view.advance_heartbeat()
+            for peer in (self.next_peer(), self.longest_silent_peer()):
                 if peer is not None:
-                    self.begin_exchange(peer)
-            await self.probe_doubted()
+                    self.start_exchange(peer)
+            await self.run_probes()
             self.log_changes()
             await self.wait()
 
-    def begin_exchange(self, peer):
+    def start_exchange(self, peer):
         """Begins an exchange unless one with this peer is under way."""
         running = self.exchanges.get(peer.name)
         if running is None or running.done():
@@ -67,29 +67,29 @@
 
     async def wait(self):
         """Waits for the next period, or until a member is doubted."""
-        period_s = PERIOD_S * self.random.uniform(0.8, 1.2)
+        period_s = PERIOD_S * self.rng.uniform(0.8, 1.2)
         try:
             async with asyncio.timeout(period_s):
-                await self.woken.wait()
+                await self.wake_event.wait()
         except TimeoutError:
             pass
-        self.woken.clear()
+        self.wake_event.clear()
 
-    def doubt(self, member):
+    def schedule_probe(self, member):
         """Probes a member soon, after its link broke."""
-        self.view.doubted.add(member.name)
-        self.woken.set()
+        self.view.members_to_probe.add(member.name)
+        self.wake_event.set()
 
-    async def probe_doubted(self):
+    async def run_probes(self):
         """Probes the members that may be gone."""
         members = self.view.state().members
-        names, self.view.doubted = self.view.doubted, set()
-        doubted = [members.get(name) for name in sorted(names)]
-        for _ in range(PROBES_IN_DOUBT):
+        names, self.view.members_to_probe = self.view.members_to_probe, set()
+        suspected = [members.get(name) for name in sorted(names)]
+        for _ in range(PROBE_ATTEMPTS):
             await asyncio.gather(
                 *(
                     self.exchange(member)
-                    for member in doubted
+                    for member in suspected
                     if self.is_peer(member) and self.view.is_alive(member)
                 )
             )
@@ -97,15 +97,15 @@
     def next_peer(self):
         """Returns the next peer of a shuffled round, or None."""
         members = self.view.state().members
-        while self.order:
-            member = members.get(self.order.pop())
+        while self.round_order:
+            member = members.get(self.round_order.pop())
             if self.is_peer(member):
                 return member
-        self.order = list(members)
-        self.random.shuffle(self.order)
+        self.round_order = list(members)
+        self.rng.shuffle(self.round_order)
         return None
 
-    def most_silent(self):
+    def longest_silent_peer(self):
         """Returns the live peer that has been silent for the longest.
 
         It is asked directly before it comes to be suspected.
@@ -114,7 +114,7 @@
             member
             for member in self.view.alive_members()
             if self.is_peer(member)
-            and self.view.silence_s(member) > ASK_AFTER_S
+            and self.view.silence_s(member) > DIRECT_EXCHANGE_AFTER_S
         ]
         return max(silent, key=self.view.silence_s, default=None)
 
@@ -124,25 +124,25 @@
             return False
         return not self.view.is_self(member)
 
-    def message(self, pulses):
+    def build_message(self, heartbeats):
         """Builds a message; its size has a bound at any size of the cell.
 
         The first pulse is this member's own. Of the others, and of the
         figures that changed lately, a random few are told, which spread
         over the members within a few periods.
         """
-        if len(pulses) > MAX_PULSES:
-            pulses = [
-                pulses[0],
-                *self.random.sample(pulses[1:], MAX_PULSES - 1),
+        if len(heartbeats) > MAX_HEARTBEATS:
+            heartbeats = [
+                heartbeats[0],
+                *self.rng.sample(heartbeats[1:], MAX_HEARTBEATS - 1),
             ]
         for digest in self.own_digests():
             self.view.merge_digest(digest)
-        fresh = self.view.fresh_digests()
-        if len(fresh) > MAX_DIGESTS:
-            fresh = self.random.sample(fresh, MAX_DIGESTS)
+        recent = self.view.recent_digests()
+        if len(recent) > MAX_DIGESTS:
+            recent = self.rng.sample(recent, MAX_DIGESTS)
         return messages.Gossip(
-            sender=self.view.name, pulses=pulses, digests=fresh
+            sender=self.view.name, heartbeats=heartbeats, digests=recent
         )
 
     async def exchange(self, peer):
@@ -152,33 +152,33 @@
         try:
             async with self.session.post(
                 url,
-                data=encode(self.message(self.view.pulses())),
+                data=encode(self.build_message(self.view.heartbeats())),
                 timeout=timeout,
                 headers=self.headers,
             ) as reply:
                 self.view.merge(decode(await reply.read()))
-                self.view.note_answer(peer)
+                self.view.record_answer(peer)
         except aiohttp.ClientConnectorError as error:
             if isinstance(error.os_error, ConnectionRefusedError):
-                self.view.note_refused(peer)
+                self.view.record_refusal(peer)
         except (TimeoutError, aiohttp.ServerTimeoutError):
             return
         except (aiohttp.ClientError, OSError):
-            self.view.note_reset(peer)
+            self.view.record_reset(peer)
         except msgspec.DecodeError:
             LOG.warning("%s sent gossip that cannot be read.", peer.name)
 
-    def answer(self, body):
+    def handle_message(self, body):
         """Takes in a peer's message and returns the answer's bytes."""
         gossip = decode(body)
         self.view.merge(gossip)
-        return encode(self.message(self.view.pulses_beyond(gossip)))
+        return encode(self.build_message(self.view.newer_heartbeats(gossip)))
 
     def log_changes(self):
         """Logs the members that appeared or went."""
         names = {member.name for member in self.view.alive_members()}
-        for name in sorted(names - self.alive_names):
+        for name in sorted(names - self.logged_alive):
             LOG.info("%s is alive.", name)
-        for name in sorted(self.alive_names - names):
+        for name in sorted(self.logged_alive - names):
             LOG.warning("%s is gone.", name)
-        self.alive_names = names
+        self.logged_alive = names
--- a/packages/cicadafold/src/cicadafold/membership/messages.py
+++ b/packages/cicadafold/src/cicadafold/membership/messages.py
@@ -4,18 +4,18 @@
 
 import msgspec
 
-__all__ = ["Digest", "Flags", "Gossip", "Pulse"]
+__all__ = ["Digest", "HeartbeatFlags", "Gossip", "Heartbeat"]
 
 
-class Flags(enum.IntFlag):
+class HeartbeatFlags(enum.IntFlag):
     """What a pulse says of its member besides its counter."""
 
     NONE = 0
     DRAINING = 1
-    GONE = 2
+    UNREACHABLE = 2
 
 
-class Pulse(msgspec.Struct, kw_only=True, array_like=True, gc=False):
+class Heartbeat(msgspec.Struct, kw_only=True, array_like=True, gc=False):
     """Heartbeat counter of one incarnation of a member.
 
     Attributes:
@@ -53,5 +53,5 @@
     """What one member tells another about all of them."""
 
     sender: str
-    pulses: list[Pulse]
+    heartbeats: list[Heartbeat]
     digests: list[Digest]
--- a/packages/cicadafold/src/cicadafold/membership/tests/test_gossip.py
+++ b/packages/cicadafold/src/cicadafold/membership/tests/test_gossip.py
@@ -44,7 +44,7 @@
     state = make_state(count)
     made = make_gossiper("m0", state)
     for i in range(1, count):
-        made.view.record(state.members[f"m{i}"]).counter = 10_000
+        made.view.peer_record(state.members[f"m{i}"]).counter = 10_000
     for i in range(400):
         made.view.merge_digest(
             messages.Digest(
@@ -57,7 +57,7 @@
                 wait_ms=0,
             )
         )
-    message = made.message(made.view.pulses())
+    message = made.build_message(made.view.heartbeats())
     assert len(msgspec.json.encode(message)) < 1024
 
 
@@ -69,10 +69,12 @@
     periods = int(view.SUSPICION_S / gossip.PERIOD_S)
     for _ in range(periods * 2):
         for member in members:
-            member.view.beat()
+            member.view.advance_heartbeat()
             peer = random.choice([m for m in members if m is not member])
-            body = gossip.encode(member.message(member.view.pulses()))
-            member.view.merge(gossip.decode(peer.answer(body)))
+            body = gossip.encode(
+                member.build_message(member.view.heartbeats())
+            )
+            member.view.merge(gossip.decode(peer.handle_message(body)))
     for member in members:
         heard = sum(r.counter > 0 for r in member.view.peers.values())
         assert heard >= 22
@@ -107,9 +109,9 @@
     state = make_state(2)
     made = make_gossiper("m0", state)
     member = state.members["m1"]
-    made.view.record(member).advanced_s -= view.SUSPICION_S + 1.0
+    made.view.peer_record(member).last_alive_s -= view.SUSPICION_S + 1.0
     assert not made.view.is_alive(member)
-    made.view.note_record("m1", "other-incarnation")
+    made.view.record_log_append("m1", "other-incarnation")
     assert not made.view.is_alive(member)
-    made.view.note_record("m1", "i")
+    made.view.record_log_append("m1", "i")
     assert made.view.is_alive(member)
--- a/packages/cicadafold/src/cicadafold/membership/tests/test_view.py
+++ b/packages/cicadafold/src/cicadafold/membership/tests/test_view.py
@@ -44,9 +44,11 @@
     return view.MembershipView(name="a", incarnation="i1", state=lambda: state)
 
 
-def pulse(counter, **fields):
-    found = messages.Pulse(joined_at=JOINED_AT["b"], counter=counter, **fields)
-    return messages.Gossip(sender="c", pulses=[found], digests=[])
+def heartbeat_gossip(counter, **fields):
+    found = messages.Heartbeat(
+        joined_at=JOINED_AT["b"], counter=counter, **fields
+    )
+    return messages.Gossip(sender="c", heartbeats=[found], digests=[])
 
 
 def test_silent_member_is_suspected_in_time(seen, clock):
@@ -59,35 +61,37 @@
 def test_old_counters_do_not_revive_a_refused_member(seen, clock):
     """Failed before: counters from before the death went round."""
     member = seen.state().members["b"]
-    seen.merge(pulse(5))
-    seen.note_refused(member)
+    seen.merge(heartbeat_gossip(5))
+    seen.record_refusal(member)
     clock.now_s += 0.5
-    seen.merge(pulse(6))
+    seen.merge(heartbeat_gossip(6))
     assert not seen.is_alive(member)
     clock.now_s += view.SUSPICION_S + 1.0
-    seen.merge(pulse(7))
+    seen.merge(heartbeat_gossip(7))
     assert seen.is_alive(member)
 
 
 def test_one_reset_is_an_accident_and_two_are_not(seen):
     member = seen.state().members["b"]
-    seen.note_reset(member)
+    seen.record_reset(member)
     assert seen.is_alive(member)
-    seen.note_reset(member)
+    seen.record_reset(member)
     assert not seen.is_alive(member)
 
 
 def test_hearsay_of_a_death_only_raises_doubt(seen):
     member = seen.state().members["b"]
-    seen.merge(pulse(3, flags=int(messages.Flags.GONE)))
+    seen.merge(
+        heartbeat_gossip(3, flags=int(messages.HeartbeatFlags.UNREACHABLE))
+    )
     assert seen.is_alive(member)
-    assert seen.doubted == {"b"}
+    assert seen.members_to_probe == {"b"}
 
 
 def test_other_incarnation_is_ignored(seen, clock):
     clock.now_s += view.SUSPICION_S + 0.1
-    seen.record(seen.state().members["b"]).advanced_s = 0.0
-    gossip = pulse(9)
-    gossip.pulses[0].joined_at = 77
+    seen.peer_record(seen.state().members["b"]).last_alive_s = 0.0
+    gossip = heartbeat_gossip(9)
+    gossip.heartbeats[0].joined_at = 77
     seen.merge(gossip)
     assert not seen.is_alive(seen.state().members["b"])
--- a/packages/cicadafold/src/cicadafold/membership/view.py
+++ b/packages/cicadafold/src/cicadafold/membership/view.py
@@ -16,10 +16,10 @@
 __all__ = ["MembershipView", "SUSPICION_S"]
 
 SUSPICION_S = 3.0
-FRESH_S = 2.5
-MAX_RESETS = 2
+DIGEST_FRESH_S = 2.5
+RESETS_UNTIL_REFUSED = 2
 
-Flags = messages.Flags
+HeartbeatFlags = messages.HeartbeatFlags
 
 
 class PeerRecord:
@@ -28,9 +28,9 @@
     def __init__(self, *, incarnation, now_s):
         self.incarnation = incarnation
         self.counter = 0
-        self.advanced_s = now_s
-        self.refused_s = None
-        self.resets = 0
+        self.last_alive_s = now_s
+        self.refused_at_s = None
+        self.consecutive_resets = 0
         self.draining = False
 
 
@@ -50,9 +50,9 @@
         self.peers = {}
         self.digests = {}
         self.digest_changed_s = {}
-        self.doubted = set()
+        self.members_to_probe = set()
 
-    def record(self, member):
+    def peer_record(self, member):
         """Returns the record of a member's current incarnation."""
         found = self.peers.get(member.name)
         if found is None or found.incarnation != member.incarnation:
@@ -74,16 +74,16 @@
             return False
         if self.is_self(member):
             return True
-        record = self.record(member)
-        if record.refused_s is not None:
+        record = self.peer_record(member)
+        if record.refused_at_s is not None:
             return False
-        return time.monotonic() - record.advanced_s < SUSPICION_S
+        return time.monotonic() - record.last_alive_s < SUSPICION_S
 
     def is_draining(self, member):
         """Whether a member has announced its planned stop."""
         if self.is_self(member):
             return self.draining
-        return self.record(member).draining
+        return self.peer_record(member).draining
 
     def alive_members(self):
         """Returns the members that count as alive, this one included."""
@@ -96,105 +96,115 @@
             return False
         return self.is_alive(member)
 
-    def note_refused(self, member):
+    def record_refusal(self, member):
         """Notes that a member's address refused a connection."""
-        self.record(member).refused_s = time.monotonic()
+        self.peer_record(member).refused_at_s = time.monotonic()
 
-    def note_reset(self, member):
+    def record_reset(self, member):
         """Notes that a new connection to a member was reset.
 
         A process that is gone behind an address translation shows itself
         like this; a single reset may be an accident.
         """
-        record = self.record(member)
-        record.resets += 1
-        if record.resets >= MAX_RESETS:
-            self.note_refused(member)
+        record = self.peer_record(member)
+        record.consecutive_resets += 1
+        if record.consecutive_resets >= RESETS_UNTIL_REFUSED:
+            self.record_refusal(member)
 
-    def note_answer(self, member):
+    def record_answer(self, member):
         """Notes that a member has answered."""
-        record = self.record(member)
-        record.resets = 0
-        record.refused_s = None
-        record.advanced_s = time.monotonic()
+        record = self.peer_record(member)
+        record.consecutive_resets = 0
+        record.refused_at_s = None
+        record.last_alive_s = time.monotonic()
 
-    def note_record(self, name, incarnation):
+    def record_log_append(self, name, incarnation):
         """Notes that a member has just put a record on the log."""
         member = self.state().members.get(name)
         if member is not None and member.incarnation == incarnation:
-            self.record(member).advanced_s = time.monotonic()
+            self.peer_record(member).last_alive_s = time.monotonic()
 
     def silence_s(self, member):
         """Returns the seconds since a member was last known to live."""
-        return time.monotonic() - self.record(member).advanced_s
+        return time.monotonic() - self.peer_record(member).last_alive_s
 
-    def beat(self):
+    def advance_heartbeat(self):
         """Advances this member's own heartbeat counter."""
         self.counter += 1
 
-    def pulses(self):
+    def heartbeats(self):
         """Returns the heartbeat counters to tell others, our own first."""
         found = []
         for member in self.state().members.values():
             if self.is_self(member):
-                flags = Flags.DRAINING if self.draining else Flags.NONE
-                found.insert(0, pulse_of(member, self.counter, flags))
+                flags = (
+                    HeartbeatFlags.DRAINING
+                    if self.draining
+                    else HeartbeatFlags.NONE
+                )
+                found.insert(0, build_heartbeat(member, self.counter, flags))
                 continue
-            record = self.record(member)
+            record = self.peer_record(member)
             if record.counter:
-                flags = flags_of(record)
-                found.append(pulse_of(member, record.counter, flags))
+                flags = flags_for(record)
+                found.append(build_heartbeat(member, record.counter, flags))
         return found
 
-    def pulses_beyond(self, gossip):
+    def newer_heartbeats(self, gossip):
         """Returns the heartbeat counters that a sender has not seen."""
-        seen = {pulse.joined_at: pulse.counter for pulse in gossip.pulses}
+        seen = {
+            heartbeat.joined_at: heartbeat.counter
+            for heartbeat in gossip.heartbeats
+        }
         return [
-            pulse
-            for pulse in self.pulses()
-            if pulse.counter > seen.get(pulse.joined_at, 0)
+            heartbeat
+            for heartbeat in self.heartbeats()
+            if heartbeat.counter > seen.get(heartbeat.joined_at, 0)
         ]
 
-    def fresh_digests(self):
+    def recent_digests(self):
         """Returns the figures that changed a short while ago."""
         now_s = time.monotonic()
         return [
             digest
             for rack, digest in self.digests.items()
-            if now_s - self.digest_changed_s[rack] < FRESH_S
+            if now_s - self.digest_changed_s[rack] < DIGEST_FRESH_S
         ]
 
     def merge(self, gossip):
         """Takes in what another member told."""
         members = {m.joined_at: m for m in self.state().members.values()}
-        for pulse in gossip.pulses:
-            member = members.get(pulse.joined_at)
+        for heartbeat in gossip.heartbeats:
+            member = members.get(heartbeat.joined_at)
             if member is not None and not self.is_self(member):
-                self.merge_pulse(member, pulse)
+                self.merge_heartbeat(member, heartbeat)
         for digest in gossip.digests:
             self.merge_digest(digest)
 
-    def merge_pulse(self, member, pulse):
+    def merge_heartbeat(self, member, heartbeat):
         """Takes in a heartbeat counter if it is a newer one."""
-        record = self.record(member)
-        if pulse.flags & Flags.GONE and record.refused_s is None:
-            self.doubted.add(member.name)
-        if pulse.counter > record.counter:
-            record.counter = pulse.counter
-            record.advanced_s = time.monotonic()
-            record.draining |= bool(pulse.flags & Flags.DRAINING)
-            self.forgive(record)
-
-    def forgive(self, record):
+        record = self.peer_record(member)
+        if (
+            heartbeat.flags & HeartbeatFlags.UNREACHABLE
+            and record.refused_at_s is None
+        ):
+            self.members_to_probe.add(member.name)
+        if heartbeat.counter > record.counter:
+            record.counter = heartbeat.counter
+            record.last_alive_s = time.monotonic()
+            record.draining |= bool(heartbeat.flags & HeartbeatFlags.DRAINING)
+            self.clear_refusal(record)
+
+    def clear_refusal(self, record):
         """Counts a member as alive again that had refused a connection.
 
         Counters from before the refusal still go round for a while, so
         that only a later one shows that the member lives.
         """
-        if record.refused_s is None:
+        if record.refused_at_s is None:
             return
-        if record.advanced_s - record.refused_s > SUSPICION_S:
-            record.refused_s = None
+        if record.last_alive_s - record.refused_at_s > SUSPICION_S:
+            record.refused_at_s = None
 
     def merge_digest(self, digest):
         """Takes in the figures of a rack if they are newer."""
@@ -205,18 +215,18 @@
             self.digest_changed_s[digest.rack] = time.monotonic()
 
 
-def pulse_of(member, counter, flags):
+def build_heartbeat(member, counter, flags):
     """Returns the pulse of a member."""
-    return messages.Pulse(
+    return messages.Heartbeat(
         joined_at=member.joined_at, counter=counter, flags=int(flags)
     )
 
 
-def flags_of(record):
+def flags_for(record):
     """Returns the flags of what is known of a member."""
-    flags = Flags.NONE
+    flags = HeartbeatFlags.NONE
     if record.draining:
-        flags |= Flags.DRAINING
-    if record.refused_s is not None:
-        flags |= Flags.GONE
+        flags |= HeartbeatFlags.DRAINING
+    if record.refused_at_s is not None:
+        flags |= HeartbeatFlags.UNREACHABLE
     return flags
--- a/packages/cicadafold/src/cicadafold/ownership/rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack.py
@@ -19,7 +19,7 @@
 from cicadafold.ownership import task_names
 from cicadafold.ownership import work as rack_work
 from cicadafold.peerlink import frames
-from cicadafold.placement import lanes
+from cicadafold.placement import request_queue
 from cicadafold.platform import messages as platform
 from cicadafold.telemetry import logs
 
@@ -54,7 +54,7 @@
         self.works = {}
         self.redirected = {}
         self.doubtful = {}
-        self.lanes = lanes.Lanes()
+        self.lanes = request_queue.RequestQueue()
         self.links = {}
         self.link_tasks = {}
         self.found = recovery.FoundTasks(rack=self)
--- a/packages/cicadafold/src/cicadafold/ownership/starting.py
+++ b/packages/cicadafold/src/cicadafold/ownership/starting.py
@@ -19,10 +19,10 @@
     """Starts waiting work, urgent first, for as long as it fits."""
     if owner.retired:
         return
-    while work := owner.lanes.first_urgent():
+    while work := owner.lanes.peek_urgent():
         if not start_queued(owner, work):
             break
-    while work := owner.lanes.first_patient(
+    while work := owner.lanes.peek_patient(
         functools.partial(team_may_start, owner)
     ):
         if not start_queued(owner, work):
@@ -45,7 +45,7 @@
         return False
     owner.lanes.remove(work)
     if work.kind.lane is messages.Lane.patient:
-        owner.lanes.charge(
+        owner.lanes.charge_team(
             work,
             cost=work.kind.cores * work.kind.tasks / work.kind.worth,
             weight=owner.node.team_weight(work.team),
@@ -70,7 +70,7 @@
     """Starts a request if all its tasks fit now."""
     if not queued and must_queue(owner, work):
         return False
-    size = capacity.size_of_kind(work.kind)
+    size = capacity.resources_of_kind(work.kind)
     chosen = choose_links(owner, work, size)
     if not chosen:
         return False
--- a/packages/cicadafold/src/cicadafold/ownership/target_link.py
+++ b/packages/cicadafold/src/cicadafold/ownership/target_link.py
@@ -145,7 +145,7 @@
             lease_ms: Longest lease that an earlier owner may have given.
             on_end: Function that takes the task and its end.
         """
-        size = host_capacity.Size(
+        size = host_capacity.TaskResources(
             cores=report.cores,
             memory_mb=report.memory_mb,
             accelerators=report.accelerators,
--- a/packages/cicadafold/src/cicadafold/peerlink/client.py
+++ b/packages/cicadafold/src/cicadafold/peerlink/client.py
@@ -9,17 +9,17 @@
 from cicadafold.peerlink import frames
 from cicadafold.telemetry import logs
 
-__all__ = ["PeerLink", "PeerLinks"]
+__all__ = ["LaneLink", "LaneLinks"]
 
-HEARTBEAT_S = 2.0
+HEARTBEAT_PERIOD_S = 2.0
 CONNECT_TIMEOUT_S = 1.0
-SWEEP_PERIOD_S = 0.2
+EXPIRY_CHECK_PERIOD_S = 0.2
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 
 LOG = logs.get_logger("peer")
 
 
-class PeerLink:
+class LaneLink:
     """One WebSocket to one incarnation of a peer, for one lane.
 
     Frames that gather while the last message is written go out together.
@@ -30,9 +30,9 @@
         self.url = f"http://{address}/peer/link?lane={lane}"
         self.headers = {"Authorization": f"Bearer {token}"} if token else {}
         self.serial = 0
-        self.outbox = []
-        self.unanswered = {}
-        self.arrived = asyncio.Event()
+        self.unsent_frames = []
+        self.pending_calls = {}
+        self.frames_queued = asyncio.Event()
         self.closed = False
         self.on_close = on_close
         self.task = asyncio.create_task(self.run())
@@ -49,14 +49,14 @@
             LinkLost: The frame may have arrived.
         """
         if self.closed:
-            raise not_open()
+            raise link_not_open_error()
         self.serial += 1
         frame.serial = self.serial
         loop = asyncio.get_running_loop()
         future = loop.create_future()
-        self.unanswered[frame.serial] = (future, loop.time() + timeout_s)
-        self.outbox.append(frame)
-        self.arrived.set()
+        self.pending_calls[frame.serial] = (future, loop.time() + timeout_s)
+        self.unsent_frames.append(frame)
+        self.frames_queued.set()
         return await future
 
     async def run(self):
@@ -66,7 +66,7 @@
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 socket = await self.session.ws_connect(
                     self.url,
-                    heartbeat=HEARTBEAT_S,
+                    heartbeat=HEARTBEAT_PERIOD_S,
                     headers=self.headers,
                     max_msg_size=MAX_FRAME_BYTES,
                     timeout=timeout,
@@ -74,13 +74,13 @@
         except (aiohttp.ClientError, TimeoutError, OSError):
             self.close()
             return
-        writer = asyncio.create_task(self.write(socket))
-        sweeper = asyncio.create_task(self.sweep())
+        writer_task = asyncio.create_task(self.write(socket))
+        expiry_task = asyncio.create_task(self.expire_calls())
         try:
             await self.read(socket)
         finally:
-            writer.cancel()
-            sweeper.cancel()
+            writer_task.cancel()
+            expiry_task.cancel()
             self.close()
             await socket.close()
 
@@ -90,54 +90,59 @@
             if message.type is not aiohttp.WSMsgType.BINARY:
                 break
             for reply in frames.decode_replies(message.data):
-                waiting = self.unanswered.pop(reply.serial, None)
+                waiting = self.pending_calls.pop(reply.serial, None)
                 if waiting is not None and not waiting[0].done():
                     waiting[0].set_result(reply)
 
     async def write(self, socket):
         """Writes the frames that have gathered."""
         while True:
-            await self.arrived.wait()
-            self.arrived.clear()
-            batch, self.outbox = self.outbox, []
+            await self.frames_queued.wait()
+            self.frames_queued.clear()
+            batch, self.unsent_frames = self.unsent_frames, []
             try:
                 await socket.send_bytes(frames.encode(batch))
             except (aiohttp.ClientError, ConnectionError):
                 return
 
-    async def sweep(self):
+    async def expire_calls(self):
         """Gives up on the calls whose time has passed."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(SWEEP_PERIOD_S)
+            await asyncio.sleep(EXPIRY_CHECK_PERIOD_S)
             now_s = loop.time()
             overdue = [
                 serial
-                for serial, (_, end_s) in self.unanswered.items()
+                for serial, (_, end_s) in self.pending_calls.items()
                 if end_s < now_s
             ]
             for serial in overdue:
-                fail(self.unanswered.pop(serial)[0], lost())
+                fail_call(self.pending_calls.pop(serial)[0], link_lost_error())
 
     def close(self):
         """Fails the calls that have no reply."""
         if not self.closed:
             self.closed = True
             self.on_close()
-        unsent = {frame.serial for frame in self.outbox}
-        self.outbox = []
-        unanswered, self.unanswered = self.unanswered, {}
-        for serial, (future, _) in unanswered.items():
-            fail(future, not_open() if serial in unsent else lost())
+        unsent_serials = {frame.serial for frame in self.unsent_frames}
+        self.unsent_frames = []
+        pending_calls, self.pending_calls = self.pending_calls, {}
+        for serial, (future, _) in pending_calls.items():
+            fail_call(
+                future,
+                link_not_open_error()
+                if serial in unsent_serials
+                else link_lost_error(),
+            )
 
 
-def fail(future, error):
+def fail_call(future, error):
     """Fails a call if its caller still waits."""
     if not future.done():
         future.set_exception(error)
 
 
-def not_open():
+def link_not_open_error():
     """Builds the error of a call that was not sent."""
     return exception.LinkNotOpen(
         message="The peer could not be reached.",
@@ -145,7 +150,7 @@
     )
 
 
-def lost():
+def link_lost_error():
     """Builds the error of a call that has no reply."""
     return exception.LinkLost(
         message="The link to the peer broke.",
@@ -153,7 +158,7 @@
     )
 
 
-class PeerLinks:
+class LaneLinks:
     """The open links, by incarnation and lane."""
 
     def __init__(self, *, session, token, resolve, on_lost):
@@ -173,7 +178,7 @@
         key = (member.name, member.incarnation, lane)
         link = self.links.get(key)
         if link is None or link.closed:
-            link = PeerLink(
+            link = LaneLink(
                 session=self.session,
                 address=self.resolve(member.address),
                 lane=lane.value,
--- a/packages/cicadafold/src/cicadafold/peerlink/server.py
+++ b/packages/cicadafold/src/cicadafold/peerlink/server.py
@@ -10,7 +10,7 @@
 
 __all__ = ["FRAME_HANDLERS", "handle_frame", "handles", "serve_link"]
 
-HEARTBEAT_S = 2.0
+HEARTBEAT_PERIOD_S = 2.0
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 
 FRAME_HANDLERS = {}
@@ -32,24 +32,24 @@
     return register
 
 
-class Outbox:
+class ReplyWriter:
     """Replies that gather until the next message is written."""
 
     def __init__(self, *, socket):
         self.socket = socket
         self.replies = []
-        self.arrived = asyncio.Event()
+        self.replies_queued = asyncio.Event()
 
     def send(self, reply):
         """Queues a reply."""
         self.replies.append(reply)
-        self.arrived.set()
+        self.replies_queued.set()
 
     async def run(self):
         """Writes the replies that have gathered."""
         while True:
-            await self.arrived.wait()
-            self.arrived.clear()
+            await self.replies_queued.wait()
+            self.replies_queued.clear()
             batch, self.replies = self.replies, []
             try:
                 await self.socket.send_bytes(frames.encode(batch))
@@ -75,17 +75,19 @@
         rack_service: What the frames are handed to.
     """
     socket = web.WebSocketResponse(
-        heartbeat=HEARTBEAT_S, compress=False, max_msg_size=MAX_FRAME_BYTES
+        heartbeat=HEARTBEAT_PERIOD_S,
+        compress=False,
+        max_msg_size=MAX_FRAME_BYTES,
     )
     await socket.prepare(request)
-    outbox = Outbox(socket=socket)
-    writer = asyncio.create_task(outbox.run())
+    replies = ReplyWriter(socket=socket)
+    writer_task = asyncio.create_task(replies.run())
     try:
         async for message in socket:
             if message.type is not aiohttp.WSMsgType.BINARY:
                 break
             for frame in frames.decode_calls(message.data):
-                handle_frame(rack_service, frame, outbox.send)
+                handle_frame(rack_service, frame, replies.send)
     finally:
-        writer.cancel()
+        writer_task.cancel()
     return socket
--- a/packages/cicadafold/src/cicadafold/placement/capacity.py
+++ b/packages/cicadafold/src/cicadafold/placement/capacity.py
@@ -2,12 +2,12 @@
 
 import msgspec
 
-__all__ = ["Capacity", "Size", "size_of_kind"]
+__all__ = ["Capacity", "TaskResources", "resources_of_kind"]
 
-TOLERANCE_CORES = 1e-6
+ROUNDING_TOLERANCE_CORES = 1e-6
 
 
-class Size(msgspec.Struct, kw_only=True, frozen=True, gc=False):
+class TaskResources(msgspec.Struct, kw_only=True, frozen=True, gc=False):
     """What one task needs.
 
     Attributes:
@@ -20,9 +20,9 @@
     accelerators: int = 0
 
 
-def size_of_kind(kind):
+def resources_of_kind(kind):
     """Returns the declared size of one task of a kind."""
-    return Size(
+    return TaskResources(
         cores=kind.cores,
         memory_mb=kind.memory_mb,
         accelerators=kind.accelerators,
@@ -36,11 +36,11 @@
         >>> capacity = Capacity(
         ...     slots=2, cores=4.0, memory_mb=1024, accelerators=0
         ... )
-        >>> size = Size(cores=3.0, memory_mb=512)
-        >>> capacity.fits(size)
+        >>> resources = TaskResources(cores=3.0, memory_mb=512)
+        >>> capacity.fits(resources)
         True
-        >>> capacity.reserve(size)
-        >>> capacity.fits(size)
+        >>> capacity.reserve(resources)
+        >>> capacity.fits(resources)
         False
     """
 
@@ -71,7 +71,7 @@
         self.free_memory_mb = self.memory_mb
         self.free_accelerators = self.accelerators
 
-    def fits(self, size, *, headroom=0):
+    def fits(self, resources, *, headroom=0):
         """Whether a task fits and leaves the headroom free.
 
         Args:
@@ -85,31 +85,32 @@
         spare_cores = self.free_cores - share * self.cores
         spare_memory = self.free_memory_mb - share * self.memory_mb
         return (
-            spare_cores + TOLERANCE_CORES >= size.cores
-            and spare_memory >= size.memory_mb
-            and self.free_accelerators >= size.accelerators
+            spare_cores + ROUNDING_TOLERANCE_CORES >= resources.cores
+            and spare_memory >= resources.memory_mb
+            and self.free_accelerators >= resources.accelerators
         )
 
-    def could_fit(self, size, *, headroom=0):
+    def could_fit(self, resources, *, headroom=0):
         """Whether a task would fit if the worker were empty."""
         share = 1 - headroom / self.slots
         return (
             self.slots > headroom
-            and self.cores * share + TOLERANCE_CORES >= size.cores
-            and self.memory_mb * share >= size.memory_mb
-            and self.accelerators >= size.accelerators
+            and self.cores * share + ROUNDING_TOLERANCE_CORES
+            >= resources.cores
+            and self.memory_mb * share >= resources.memory_mb
+            and self.accelerators >= resources.accelerators
         )
 
-    def reserve(self, size):
+    def reserve(self, resources):
         """Takes the size of a task."""
         self.free_slots -= 1
-        self.free_cores -= size.cores
-        self.free_memory_mb -= size.memory_mb
-        self.free_accelerators -= size.accelerators
+        self.free_cores -= resources.cores
+        self.free_memory_mb -= resources.memory_mb
+        self.free_accelerators -= resources.accelerators
 
-    def release(self, size):
+    def release(self, resources):
         """Gives the size of a task back."""
         self.free_slots += 1
-        self.free_cores += size.cores
-        self.free_memory_mb += size.memory_mb
-        self.free_accelerators += size.accelerators
+        self.free_cores += resources.cores
+        self.free_memory_mb += resources.memory_mb
+        self.free_accelerators += resources.accelerators
--- a/packages/cicadafold/src/cicadafold/placement/policies.py
+++ b/packages/cicadafold/src/cicadafold/placement/policies.py
@@ -24,13 +24,13 @@
 
 
 @policy("first_fit")
-def first_fit(capacities, size):
+def first_fit(capacities, resources):
     """Takes the first worker."""
     return 0
 
 
 @policy("least_loaded")
-def least_loaded(capacities, size):
+def least_loaded(capacities, resources):
     """Takes the worker with the most free slots, then cores."""
     indexes = range(len(capacities))
     return max(
@@ -40,46 +40,49 @@
 
 
 @policy("best_fit")
-def best_fit(capacities, size):
+def best_fit(capacities, resources):
     """Takes the worker that is left with the least dominant share free."""
     indexes = range(len(capacities))
-    return min(indexes, key=lambda i: dominant_rest(capacities[i], size))
+    return min(
+        indexes,
+        key=lambda i: largest_remaining_share(capacities[i], resources),
+    )
 
 
 @policy("shape_match")
-def shape_match(capacities, size):
+def shape_match(capacities, resources):
     """Takes the worker whose free shape is most like the task's.
 
     The measure is the squared difference between the free shares that are
     left, so that no resource is stranded when another is used up.
     """
     indexes = range(len(capacities))
-    return min(indexes, key=lambda i: imbalance(capacities[i], size))
+    return min(indexes, key=lambda i: imbalance(capacities[i], resources))
 
 
-def dominant_rest(capacity, size):
+def largest_remaining_share(capacity, resources):
     """Largest free share that is left after placing a task."""
-    return max(rest_shares(capacity, size))
+    return max(remaining_shares(capacity, resources))
 
 
-def imbalance(capacity, size):
+def imbalance(capacity, resources):
     """Squared differences between the free shares that are left."""
-    rest = rest_shares(capacity, size)
-    mean = sum(rest) / len(rest)
-    spread = sum((share - mean) ** 2 for share in rest)
+    remaining = remaining_shares(capacity, resources)
+    mean = sum(remaining) / len(remaining)
+    spread = sum((share - mean) ** 2 for share in remaining)
     return (spread, mean)
 
 
-def rest_shares(capacity, size):
+def remaining_shares(capacity, resources):
     """Free shares of cores, memory and slots after placing a task."""
     return (
-        (capacity.free_cores - size.cores) / capacity.cores,
-        (capacity.free_memory_mb - size.memory_mb) / capacity.memory_mb,
+        (capacity.free_cores - resources.cores) / capacity.cores,
+        (capacity.free_memory_mb - resources.memory_mb) / capacity.memory_mb,
         (capacity.free_slots - 1) / capacity.slots,
     )
 
 
-def choose(name, candidates, size):
+def choose(name, candidates, resources):
     """Chooses among candidates that have a ``capacity``.
 
     Args:
@@ -93,4 +96,4 @@
     if not candidates:
         return None
     capacities = [candidate.capacity for candidate in candidates]
-    return candidates[POLICIES[name](capacities, size)]
+    return candidates[POLICIES[name](capacities, resources)]
--- a/packages/cicadafold/src/cicadafold/placement/lanes.py
+++ b/packages/cicadafold/src/cicadafold/placement/request_queue.py
@@ -17,7 +17,7 @@
 
 from cicadafold_schema import messages
 
-__all__ = ["Lanes"]
+__all__ = ["RequestQueue"]
 
 
 class TeamQueue:
@@ -25,56 +25,56 @@
 
     def __init__(self, *, virtual_time):
         self.virtual_time = virtual_time
-        self.works = collections.deque()
+        self.requests = collections.deque()
 
 
-class Lanes:
+class RequestQueue:
     """Waiting work; removing a work is O(1), as it is only marked."""
 
     def __init__(self):
         self.urgent = []
         self.teams = {}
         self.virtual_time = 0.0
-        self.order = itertools.count()
+        self.arrival_numbers = itertools.count()
         self.urgent_count = 0
         self.patient_count = 0
 
     def __len__(self):
         return self.urgent_count + self.patient_count
 
-    def push(self, work):
+    def push(self, request):
         """Adds waiting work to its lane."""
-        work.queued = True
-        if work.kind.lane is messages.Lane.urgent:
-            entry = (work.deadline_ms, next(self.order), work)
+        request.queued = True
+        if request.kind.lane is messages.Lane.urgent:
+            entry = (request.deadline_ms, next(self.arrival_numbers), request)
             heapq.heappush(self.urgent, entry)
             self.urgent_count += 1
             return
-        team = self.teams.get(work.team)
+        team = self.teams.get(request.team)
         if team is None:
             team = TeamQueue(virtual_time=self.virtual_time)
-            self.teams[work.team] = team
-        team.works.append(work)
+            self.teams[request.team] = team
+        team.requests.append(request)
         self.patient_count += 1
 
-    def remove(self, work):
+    def remove(self, request):
         """Marks waiting work as gone."""
-        work.queued = False
-        if work.kind.lane is messages.Lane.urgent:
+        request.queued = False
+        if request.kind.lane is messages.Lane.urgent:
             self.urgent_count -= 1
         else:
             self.patient_count -= 1
 
-    def first_urgent(self):
+    def peek_urgent(self):
         """Returns the urgent work with the nearest deadline, or None."""
         while self.urgent:
-            work = self.urgent[0][2]
-            if work.queued:
-                return work
+            request = self.urgent[0][2]
+            if request.queued:
+                return request
             heapq.heappop(self.urgent)
         return None
 
-    def first_patient(self, eligible):
+    def peek_patient(self, eligible):
         """Returns the next patient work by fair share, or None.
 
         Args:
@@ -83,24 +83,24 @@
         best = None
         for name in list(self.teams):
             team = self.teams[name]
-            while team.works and not team.works[0].queued:
-                team.works.popleft()
-            if not team.works:
-                self.forget_idle(name, team)
+            while team.requests and not team.requests[0].queued:
+                team.requests.popleft()
+            if not team.requests:
+                self.remove_idle_team(name, team)
             elif eligible(name) and (
                 best is None or team.virtual_time < best.virtual_time
             ):
                 best = team
-        return best.works[0] if best else None
+        return best.requests[0] if best else None
 
-    def forget_idle(self, name, team):
+    def remove_idle_team(self, name, team):
         """Forgets a team without work once its share is used."""
         if team.virtual_time <= self.virtual_time:
             del self.teams[name]
 
-    def charge(self, work, *, cost, weight):
+    def charge_team(self, request, *, cost, weight):
         """Advances the virtual time of a team whose work is started."""
-        team = self.teams.get(work.team)
+        team = self.teams.get(request.team)
         if team is None:
             return
         self.virtual_time = max(self.virtual_time, team.virtual_time)
--- a/packages/cicadafold/src/cicadafold/placement/routing.py
+++ b/packages/cicadafold/src/cicadafold/placement/routing.py
@@ -18,9 +18,9 @@
 
 __all__ = ["Routing"]
 
-HOME_BUCKETS = 1024
-CHOICES = 2
-MAX_LOOKED_AT = 32
+REQUEST_BUCKETS = 1024
+MAX_SAMPLED_RACKS = 2
+MAX_SAMPLED_DIGESTS = 32
 
 
 class Routing:
@@ -30,17 +30,17 @@
         self.hosts = hosts
         self.view = view
         self.region = region
-        self.random = random.Random()
-        self.version = -1
-        self.homes = {}
-        self.fits = {}
+        self.rng = random.Random()
+        self.hosts_version = -1
+        self.assigned_cache = {}
+        self.fit_cache = {}
 
     def refresh(self):
         """Forgets what was computed from an older host list."""
-        if self.version != self.hosts.version:
-            self.version = self.hosts.version
-            self.homes = {}
-            self.fits = {}
+        if self.hosts_version != self.hosts.version:
+            self.hosts_version = self.hosts.version
+            self.assigned_cache = {}
+            self.fit_cache = {}
 
     def racks_of(self, region):
         """Returns the racks of a region, or all if it has none."""
@@ -48,7 +48,7 @@
         near = [rack for rack in racks if rack.region == region]
         return near or racks
 
-    def home(self, request_id, region):
+    def assigned_racks(self, request_id, region):
         """Returns the home racks of a request, best first.
 
         Args:
@@ -56,15 +56,15 @@
             region: Region of the request's origin.
         """
         self.refresh()
-        bucket = zlib.crc32(request_id.encode()) % HOME_BUCKETS
+        bucket = zlib.crc32(request_id.encode()) % REQUEST_BUCKETS
         key = (region or self.region, bucket)
-        order = self.homes.get(key)
+        order = self.assigned_cache.get(key)
         if order is None:
             order = sorted(
                 (rack.name for rack in self.racks_of(key[0])),
                 key=lambda rack: assignment.rendezvous_weight(bucket, rack),
             )
-            self.homes[key] = order
+            self.assigned_cache[key] = order
         return order
 
     def could_fit(self, rack, kind, headroom):
@@ -72,11 +72,11 @@
         self.refresh()
         key = (rack, kind.name, kind.cores, kind.memory_mb, headroom)
         key = (*key, kind.accelerators, kind.tasks)
-        known = self.fits.get(key)
+        known = self.fit_cache.get(key)
         if known is None:
             entry = self.hosts.racks[rack]
             known = entry.could_fit(kind, headroom=headroom)
-            self.fits[key] = known
+            self.fit_cache[key] = known
         return known
 
     def candidates(self, request_id, region, kind, headroom):
@@ -84,7 +84,7 @@
 
         Racks of other regions follow only if none of the region fits.
         """
-        near = self.home(request_id, region)
+        near = self.assigned_racks(request_id, region)
         found = False
         for rack in near:
             if self.could_fit(rack, kind, headroom):
@@ -96,7 +96,9 @@
             if self.could_fit(rack, kind, headroom):
                 yield rack
 
-    def rack_with_room(self, own_rack, kind, *, wait_ms, price_ms, headroom):
+    def find_redirect_rack(
+        self, own_rack, kind, *, wait_ms, price_ms, headroom
+    ):
         """Returns a rack that has room now, or None.
 
         Another region is considered only when waiting here costs more
@@ -113,11 +115,11 @@
         region = own.region if own else self.region
         near = []
         far = []
-        for rack, digest in self.some_digests():
+        for rack, digest in self.sample_digests():
             entry = self.hosts.racks.get(rack)
             if rack == own_rack or entry is None:
                 continue
-            if room(digest, kind) < kind.tasks:
+            if usable_slots(digest, kind) < kind.tasks:
                 continue
             if not self.could_fit(rack, kind, headroom):
                 continue
@@ -125,27 +127,29 @@
         found = near or (far if wait_ms > price_ms else [])
         if not found:
             return None
-        picked = self.random.sample(found, min(CHOICES, len(found)))
-        best = max(picked, key=lambda r: room(self.view.digests[r], kind))
-        take_room(self.view.digests[best], kind)
+        picked = self.rng.sample(found, min(MAX_SAMPLED_RACKS, len(found)))
+        best = max(
+            picked, key=lambda r: usable_slots(self.view.digests[r], kind)
+        )
+        deduct_slots(self.view.digests[best], kind)
         return best
 
-    def some_digests(self):
+    def sample_digests(self):
         """Returns the digests of a bounded number of racks."""
         digests = list(self.view.digests.items())
-        if len(digests) <= MAX_LOOKED_AT:
+        if len(digests) <= MAX_SAMPLED_DIGESTS:
             return digests
-        return self.random.sample(digests, MAX_LOOKED_AT)
+        return self.rng.sample(digests, MAX_SAMPLED_DIGESTS)
 
 
-def room(digest, kind):
+def usable_slots(digest, kind):
     """Returns the slots that a digest shows free for a kind."""
     if kind.lane is messages.Lane.urgent:
         return digest.free_slots
     return digest.patient_slots
 
 
-def take_room(digest, kind):
+def deduct_slots(digest, kind):
     """Counts a redirected request against the digest."""
     digest.free_slots -= kind.tasks
     digest.patient_slots -= kind.tasks
--- a/packages/cicadafold/src/cicadafold/placement/tests/test_policies.py
+++ b/packages/cicadafold/src/cicadafold/placement/tests/test_policies.py
@@ -17,8 +17,8 @@
         )
 
 
-sizes = st.builds(
-    capacity.Size,
+task_resources = st.builds(
+    capacity.TaskResources,
     cores=st.floats(0.1, 16),
     memory_mb=st.integers(1, 4096),
 )
@@ -26,15 +26,15 @@
 
 @given(
     st.sampled_from(sorted(policies.POLICIES)),
-    st.lists(sizes, max_size=60),
+    st.lists(task_resources, max_size=60),
 )
 def test_no_policy_overfills(name, tasks):
     workers = [Candidate(16.0, 4096) for _ in range(3)]
-    for size in tasks:
-        fitting = [w for w in workers if w.capacity.fits(size)]
-        chosen = policies.choose(name, fitting, size)
+    for resources in tasks:
+        fitting = [w for w in workers if w.capacity.fits(resources)]
+        chosen = policies.choose(name, fitting, resources)
         if chosen is not None:
-            chosen.capacity.reserve(size)
+            chosen.capacity.reserve(resources)
     for worker in workers:
         assert worker.capacity.free_cores >= -1e-3
         assert worker.capacity.free_memory_mb >= 0
@@ -43,13 +43,13 @@
 
 def test_headroom_keeps_a_share_of_every_resource():
     worker = Candidate(16.0, 4096)
-    size = capacity.Size(cores=2.0, memory_mb=512)
+    resources = capacity.TaskResources(cores=2.0, memory_mb=512)
     count = 0
-    while worker.capacity.fits(size, headroom=1):
-        worker.capacity.reserve(size)
+    while worker.capacity.fits(resources, headroom=1):
+        worker.capacity.reserve(resources)
         count += 1
     assert count == 7
-    assert worker.capacity.fits(size)
+    assert worker.capacity.fits(resources)
 
 
 @pytest.mark.parametrize(
@@ -58,8 +58,12 @@
 )
 def test_choice(name, expected):
     workers = [Candidate(16.0, 4096) for _ in range(3)]
-    workers[0].capacity.reserve(capacity.Size(cores=2, memory_mb=256))
-    workers[2].capacity.reserve(capacity.Size(cores=9, memory_mb=2048))
-    workers[2].capacity.reserve(capacity.Size(cores=1, memory_mb=1024))
-    size = capacity.Size(cores=1, memory_mb=128)
-    assert policies.choose(name, workers, size) is workers[expected]
+    workers[0].capacity.reserve(capacity.TaskResources(cores=2, memory_mb=256))
+    workers[2].capacity.reserve(
+        capacity.TaskResources(cores=9, memory_mb=2048)
+    )
+    workers[2].capacity.reserve(
+        capacity.TaskResources(cores=1, memory_mb=1024)
+    )
+    resources = capacity.TaskResources(cores=1, memory_mb=128)
+    assert policies.choose(name, workers, resources) is workers[expected]
--- a/packages/cicadafold/src/cicadafold/placement/tests/test_lanes.py
+++ b/packages/cicadafold/src/cicadafold/placement/tests/test_request_queue.py
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 
 from cicadafold.ownership import work as rack_work
-from cicadafold.placement import lanes
+from cicadafold.placement import request_queue
 from cicadafold_schema import messages
 
 
-def make_work(name, lane="patient", team="t", deadline_ms=0.0):
+def make_request(name, lane="patient", team="t", deadline_ms=0.0):
     kind = messages.Kind(
         name="k",
         lane=messages.Lane(lane),
@@ -32,79 +32,79 @@
 
 
 def test_urgent_work_is_seen_behind_much_patient_work():
-    queue = lanes.Lanes()
+    queue = request_queue.RequestQueue()
     for number in range(10_000):
-        queue.push(make_work(f"p{number}"))
-    urgent = make_work("u", lane="urgent")
+        queue.push(make_request(f"p{number}"))
+    urgent = make_request("u", lane="urgent")
     queue.push(urgent)
-    assert queue.first_urgent() is urgent
+    assert queue.peek_urgent() is urgent
 
 
 def test_urgent_work_is_ordered_by_deadline():
-    queue = lanes.Lanes()
-    late = make_work("late", lane="urgent", deadline_ms=20.0)
-    early = make_work("early", lane="urgent", deadline_ms=10.0)
+    queue = request_queue.RequestQueue()
+    late = make_request("late", lane="urgent", deadline_ms=20.0)
+    early = make_request("early", lane="urgent", deadline_ms=10.0)
     queue.push(late)
     queue.push(early)
-    assert queue.first_urgent() is early
+    assert queue.peek_urgent() is early
     queue.remove(early)
-    assert queue.first_urgent() is late
+    assert queue.peek_urgent() is late
 
 
 def drain(queue, weights, count):
     """Starts a number of patient works and counts them by team."""
     started = collections.Counter()
     for _ in range(count):
-        work = queue.first_patient(anyone)
-        queue.remove(work)
-        queue.charge(work, cost=1.0, weight=weights[work.team])
-        started[work.team] += 1
+        request = queue.peek_patient(anyone)
+        queue.remove(request)
+        queue.charge_team(request, cost=1.0, weight=weights[request.team])
+        started[request.team] += 1
     return started
 
 
 def test_teams_share_by_weight():
-    queue = lanes.Lanes()
+    queue = request_queue.RequestQueue()
     for number in range(100):
-        queue.push(make_work(f"a{number}", team="a"))
-        queue.push(make_work(f"b{number}", team="b"))
+        queue.push(make_request(f"a{number}", team="a"))
+        queue.push(make_request(f"b{number}", team="b"))
     started = drain(queue, {"a": 3, "b": 1}, 80)
     assert abs(started["a"] - 60) <= 1
 
 
 def test_idle_share_is_borrowed_and_given_back():
-    queue = lanes.Lanes()
+    queue = request_queue.RequestQueue()
     weights = {"a": 1, "b": 1}
     for number in range(100):
-        queue.push(make_work(f"a{number}", team="a"))
+        queue.push(make_request(f"a{number}", team="a"))
     assert drain(queue, weights, 40) == {"a": 40}
     for number in range(40):
-        queue.push(make_work(f"b{number}", team="b"))
+        queue.push(make_request(f"b{number}", team="b"))
     started = drain(queue, weights, 40)
     assert abs(started["a"] - started["b"]) <= 2
 
 
 def test_team_over_quota_is_passed_over():
-    queue = lanes.Lanes()
-    queue.push(make_work("a", team="a"))
-    queue.push(make_work("b", team="b"))
-    found = queue.first_patient(lambda team: team != "a")
+    queue = request_queue.RequestQueue()
+    queue.push(make_request("a", team="a"))
+    queue.push(make_request("b", team="b"))
+    found = queue.peek_patient(lambda team: team != "a")
     assert found.request_id == "b"
 
 
 @given(st.lists(st.tuples(st.sampled_from("ab"), st.booleans()), max_size=40))
 def test_removed_work_is_never_returned(steps):
-    queue = lanes.Lanes()
+    queue = request_queue.RequestQueue()
     waiting = []
     for number, (team, remove) in enumerate(steps):
-        work = make_work(f"w{number}", team=team)
-        queue.push(work)
-        waiting.append(work)
+        request = make_request(f"w{number}", team=team)
+        queue.push(request)
+        waiting.append(request)
         if remove:
             queue.remove(waiting.pop(0))
     assert len(queue) == len(waiting)
     served = []
-    while work := queue.first_patient(anyone):
-        queue.remove(work)
-        queue.charge(work, cost=1.0, weight=1)
-        served.append(work.request_id)
+    while request := queue.peek_patient(anyone):
+        queue.remove(request)
+        queue.charge_team(request, cost=1.0, weight=1)
+        served.append(request.request_id)
     assert sorted(served) == sorted(w.request_id for w in waiting)
--- a/packages/cicadafold/src/cicadafold/placement/tests/test_routing.py
+++ b/packages/cicadafold/src/cicadafold/placement/tests/test_routing.py
@@ -42,7 +42,7 @@
 
 def choose(made, *, wait_ms=0, lane=messages.Lane.urgent):
     kind = memory.make_kind(lane=lane)
-    return made.rack_with_room(
+    return made.find_redirect_rack(
         "rack-0", kind, wait_ms=wait_ms, price_ms=200, headroom=0
     )
 
@@ -74,13 +74,13 @@
 
 def test_home_is_the_same_on_all_members_and_stays_in_its_region(made):
     kind = memory.make_kind()
-    homes = set()
+    first_racks = set()
     for number in range(200):
         found = list(made.candidates(f"q{number}", "r0", kind, 0))
         again = list(made.candidates(f"q{number}", "r0", kind, 0))
         assert found == again and set(found) == {"rack-0", "rack-1"}
-        homes.add(found[0])
-    assert homes == {"rack-0", "rack-1"}
+        first_racks.add(found[0])
+    assert first_racks == {"rack-0", "rack-1"}
 
 
 def test_kind_that_fits_nowhere_near_goes_where_it_fits(made):
--- a/packages/cicadafold/src/cicadafold/reports/burn.py
+++ b/packages/cicadafold/src/cicadafold/reports/burn.py
@@ -13,27 +13,27 @@
 
 from cicadafold_schema import messages
 
-__all__ = ["BUCKET_S", "BurnBook", "WINDOWS_S", "merge_reports"]
+__all__ = ["BUCKET_S", "AnswerCounts", "WINDOWS_S", "merge_reports"]
 
 BUCKET_S = 10
 WINDOWS_S = (60, 300, 3600, 21600)
 
 
-class BurnBook:
+class AnswerCounts:
     """Good and bad answers by kind, in buckets of time.
 
     Examples:
-        >>> book = BurnBook()
-        >>> book.note("lookup", good=True, now_s=100.0)
-        >>> book.note("lookup", good=False, now_s=101.0)
-        >>> book.totals("lookup", window_s=60, now_s=101.0)
+        >>> counts = AnswerCounts()
+        >>> counts.count_answer("lookup", good=True, now_s=100.0)
+        >>> counts.count_answer("lookup", good=False, now_s=101.0)
+        >>> counts.totals("lookup", window_s=60, now_s=101.0)
         (1, 1)
     """
 
     def __init__(self):
         self.kinds = collections.defaultdict(collections.OrderedDict)
 
-    def note(self, kind, *, good, now_s=None):
+    def count_answer(self, kind, *, good, now_s=None):
         """Counts one answer."""
         now_s = time.time() if now_s is None else now_s
         bucket = int(now_s // BUCKET_S)
@@ -76,7 +76,9 @@
         windows = []
         for window_s in WINDOWS_S:
             good, bad = self.totals(kind.name, window_s=window_s)
-            windows.append(window(window_s, good, bad, kind.objective_share))
+            windows.append(
+                build_window(window_s, good, bad, kind.objective_share)
+            )
         return messages.KindBurn(
             kind=kind.name,
             objective_ms=kind.objective_ms,
@@ -85,7 +87,7 @@
         )
 
 
-def window(window_s, good, bad, objective_share):
+def build_window(window_s, good, bad, objective_share):
     """Builds the figures of one window."""
     total = good + bad
     allowed = 1.0 - objective_share
@@ -105,8 +107,10 @@
     merged = {}
     for report in reports:
         for kind in report.kinds:
-            known = merged.get(kind.kind)
-            merged[kind.kind] = merge_kind(known, kind) if known else kind
+            merged_kind = merged.get(kind.kind)
+            merged[kind.kind] = (
+                merge_kind_reports(merged_kind, kind) if merged_kind else kind
+            )
     return messages.BurnReport(
         members=sorted(name for r in reports for name in r.members),
         unreachable=sorted(unreachable),
@@ -114,17 +118,17 @@
     )
 
 
-def merge_kind(left, right):
+def merge_kind_reports(first, second):
     """Adds up the figures of one kind."""
     windows = [
-        window(
-            a.window_s, a.good + b.good, a.bad + b.bad, left.objective_share
+        build_window(
+            a.window_s, a.good + b.good, a.bad + b.bad, first.objective_share
         )
-        for a, b in zip(left.windows, right.windows, strict=True)
+        for a, b in zip(first.windows, second.windows, strict=True)
     ]
     return messages.KindBurn(
-        kind=left.kind,
-        objective_ms=left.objective_ms,
-        objective_share=left.objective_share,
+        kind=first.kind,
+        objective_ms=first.objective_ms,
+        objective_share=first.objective_share,
         windows=windows,
     )
--- a/packages/cicadafold/src/cicadafold/reports/burn_page.py
+++ b/packages/cicadafold/src/cicadafold/reports/burn_page.py
@@ -7,8 +7,8 @@
 
 BAR_WIDTH_PX = 320
 FULL_SCALE_BURN = 10.0
-WARN_BURN = 1.0
-PAGE_BURN = 6.0
+WARNING_BURN = 1.0
+CRITICAL_BURN = 6.0
 
 PAGE = string.Template("""<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Service-level burn</title>
@@ -89,12 +89,12 @@
         width=round(min(burn, FULL_SCALE_BURN) * scale),
         one=round(scale),
         burn=f"{burn:.2f}",
-        colour=colour_of(burn),
+        colour=bar_colour(burn),
     )
 
 
-def colour_of(burn):
+def bar_colour(burn):
     """Returns the colour of a burn."""
-    if burn >= PAGE_BURN:
+    if burn >= CRITICAL_BURN:
         return "#c0392b"
-    return "#e6a700" if burn >= WARN_BURN else "#2e8b57"
+    return "#e6a700" if burn >= WARNING_BURN else "#2e8b57"
--- a/packages/cicadafold/src/cicadafold/reports/tests/test_burn.py
+++ b/packages/cicadafold/src/cicadafold/reports/tests/test_burn.py
@@ -22,12 +22,12 @@
 def test_burn_of_two_members_is_that_of_their_sum(kind):
     reports = []
     for bad in (0, 10):
-        book = burn.BurnBook()
+        counts = burn.AnswerCounts()
         for _ in range(50 - bad):
-            book.note(kind.name, good=True)
+            counts.count_answer(kind.name, good=True)
         for _ in range(bad):
-            book.note(kind.name, good=False)
-        reports.append(book.report(f"m{bad}", [kind]))
+            counts.count_answer(kind.name, good=False)
+        reports.append(counts.report(f"m{bad}", [kind]))
     merged = burn.merge_reports(reports, ["gone"])
     first = merged.kinds[0].windows[0]
     assert (first.good, first.bad, first.burn) == (90, 10, 1.0)
@@ -35,15 +35,15 @@
 
 
 def test_answers_leave_their_window(kind):
-    book = burn.BurnBook()
-    book.note(kind.name, good=False, now_s=1000.0)
-    assert book.totals(kind.name, window_s=60, now_s=1030.0) == (0, 1)
-    assert book.totals(kind.name, window_s=60, now_s=1100.0) == (0, 0)
+    counts = burn.AnswerCounts()
+    counts.count_answer(kind.name, good=False, now_s=1000.0)
+    assert counts.totals(kind.name, window_s=60, now_s=1030.0) == (0, 1)
+    assert counts.totals(kind.name, window_s=60, now_s=1100.0) == (0, 0)
 
 
 def test_page_is_self_contained_and_escaped(kind):
-    book = burn.BurnBook()
-    book.note(kind.name, good=False)
-    page = burn_page.render(book.report("m", [kind]))
+    counts = burn.AnswerCounts()
+    counts.count_answer(kind.name, good=False)
+    page = burn_page.render(counts.report("m", [kind]))
     assert "&lt;lookup&gt;" in page and "<lookup>" not in page
     assert "<svg" in page and "http" not in page
--- a/packages/cicadafold/src/cicadafold/service/caller_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/caller_calls.py
@@ -74,7 +74,7 @@
     finally:
         elapsed_s = time.perf_counter() - began_s
         in_time = elapsed_s * clock.MILLISECONDS <= kind.objective_ms
-        node.burn.note(kind.name, good=good and in_time)
+        node.burn.count_answer(kind.name, good=good and in_time)
     note_answer(node, kind, answer, elapsed_s)
     accepted = answer.outcome is messages.Outcome.accepted
     return codec.json_response(answer, status=202 if accepted else 200)
--- a/packages/cicadafold/src/cicadafold/service/peer_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/peer_calls.py
@@ -20,7 +20,7 @@
 @registry.call("POST", "/peer/gossip", registry.Role.PEER)
 async def gossip(node, request):
     """Exchanges heartbeats and digests."""
-    body = node.gossiper.answer(await codec.read_body(request))
+    body = node.gossiper.handle_message(await codec.read_body(request))
     return web.Response(body=body, content_type="application/json")
 
 
