--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -118,7 +118,7 @@
         )
         self.own_handle = advising.PeerHandle(
             member=self.member,
-            ask=self.advice.advise,
+            advise=self.advice.advise,
             election_priority=settings.election_priority,
         )
         self.job_service = service.JobService(
@@ -235,7 +235,7 @@
         calls = peer_client.PeerClient(peer=peer)
         self.peers[peer] = advising.PeerHandle(
             member=hello.member,
-            ask=calls.advise,
+            advise=calls.advise,
             election_priority=hello.strength,
             store_age_ms=calls.store_age_ms,
             take_over=calls.take_over,
--- a/packages/cicadafold/src/cicadafold/dispatch/advising.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/advising.py
@@ -27,7 +27,7 @@
 # A ticket is not used in the last part of its validity, as it has to reach
 # its worker before it expires.
 TICKET_MARGIN_MS = 120.0
-# Pause before a peer whose call failed is used again.
+# Pause before a peer whose call failed is used again; the log line names it.
 RETRY_PAUSE_MS = 100.0
 
 LOG = logs.get_logger("advice")
@@ -59,8 +59,8 @@
 
     Args:
         member: Name of the process.
-        ask: Coroutine function that makes an advice call from the process;
-            it has the arguments of ``AdviceCalls.advise``.
+        advise: Coroutine function that makes an advice call from the process;
+            it has the arguments of ``AdviceClient.advise``.
         election_priority: How well the host of the process can carry the
             scheduler; higher is better.
         store_age_ms: Coroutine function that returns how many milliseconds
@@ -79,13 +79,13 @@
         self,
         *,
         member,
-        ask,
+        advise,
         election_priority,
         store_age_ms=None,
         take_over=None,
     ):
         self.member = member
-        self.ask = ask
+        self.advise = advise
         self.election_priority = election_priority
         self.store_age_ms = store_age_ms
         self.take_over = take_over
@@ -119,7 +119,7 @@
 
     def replace_queue(self, queued):
         """Replaces the queued requests and sends as many as possible."""
-        self.queued = sorted(queued, key=lambda item: item.rank)
+        self.queued = sorted(queued, key=lambda request: request.rank)
         self.dispatch_queued()
 
     def dispatch_queued(self):
@@ -137,25 +137,25 @@
         )
         short_only = max(short_only, int(len(peers) > 1))
         still_queued = collections.deque()
-        for item in self.queued:
-            peer = self.free_peer(item, peers, short_only)
+        for request in self.queued:
+            peer = self.free_peer(request, peers, short_only)
             if peer is None:
-                still_queued.append(item)
+                still_queued.append(request)
                 continue
             peer.busy += 1
-            item.step.advice_pending = True
-            self.spawn(self.ask(peer, item))
+            request.step.advice_pending = True
+            self.spawn(self.send_request(peer, request))
         self.queued = list(still_queued)
 
-    def free_peer(self, item, peers, short_only):
+    def free_peer(self, request, peers, short_only):
         """Returns a peer that may make a call now, or None.
 
         Args:
-            item: Request.
+            request: Request.
             peers: Handles of the peers that are not paused.
             short_only: Number of the first peers that make short calls only.
         """
-        if item.short:
+        if request.short:
             for peer in peers[:short_only]:
                 if peer.busy < SHORT_CALLS_PER_PEER:
                     return peer
@@ -164,22 +164,22 @@
                 return peer
         return None
 
-    async def ask(self, peer, item):
+    async def send_request(self, peer, request):
         """Makes one advice call and records the granted tickets.
 
         If the call fails, its peer is paused; the next placement pass
         requests the advice again.
         """
-        step = item.step
+        step = request.step
         step.advice_requested_ms = clock.monotonic_ms()
         valid_ms = step.job.rule.advice.valid_ms
         try:
-            granted = await peer.ask(
+            granted = await peer.advise(
                 step.job.spec.id,
                 step.occurrence,
                 step.number,
-                item.workers,
-                timeout_s=(item.cost_ms + ANSWER_SLACK_MS) / 1000,
+                request.workers,
+                timeout_s=(request.cost_ms + ANSWER_SLACK_MS) / 1000,
             )
         except (
             exception.TargetUnreachable,
@@ -187,26 +187,26 @@
             exception.LinkNotOpen,
         ) as error:
             LOG.warning(
-                "Advice call failed, pausing its peer before a retry: %s",
+                "Advice call failed, pausing its peer for 100 ms: %s",
                 error,
                 fields={"request_id": step.job.spec.id, "line": peer.member},
             )
             self.metrics.count("advice_failures")
             peer.paused_until_ms = clock.monotonic_ms() + RETRY_PAUSE_MS
         else:
-            self.record_tickets(step, item, granted, valid_ms)
+            self.record_tickets(step, request, granted, valid_ms)
         finally:
             peer.busy -= 1
             step.advice_pending = False
         self.dispatch_queued()
         self.wake()
 
-    def record_tickets(self, step, item, granted, valid_ms):
+    def record_tickets(self, step, request, granted, valid_ms):
         """Records which workers a step is permitted to use, and its tickets.
 
         Args:
             step: Step.
-            item: Request that was answered.
+            request: Request that was answered.
             granted: Tickets by name of the permitted workers.
             valid_ms: Validity of the tickets in milliseconds.
         """
@@ -214,8 +214,10 @@
         until_ms = clock.monotonic_ms() + valid_ms - TICKET_MARGIN_MS
         if step.allowed_by_worker is None:
             step.allowed_by_worker = {}
-            self.record_permitted_share(step, len(item.workers), len(granted))
-        for worker in item.workers:
+            self.record_permitted_share(
+                step, len(request.workers), len(granted)
+            )
+        for worker in request.workers:
             step.allowed_by_worker[worker] = worker in granted
         for worker, ticket in granted.items():
             step.tickets[worker] = (ticket, until_ms)
@@ -224,7 +226,7 @@
             fields={
                 "request_id": step.job.spec.id,
                 "step": step.number,
-                "asked": len(item.workers),
+                "asked": len(request.workers),
                 "granted": len(granted),
                 "took_ms": round(
                     clock.monotonic_ms() - step.advice_requested_ms
--- a/packages/cicadafold/src/cicadafold/dispatch/pacing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/pacing.py
@@ -63,7 +63,7 @@
         self.links = links
 
     async def run(self):
-        """Updates the paces on all answering workers every half second."""
+        """Updates the paces on all answering workers each ``PERIOD_S``."""
         while True:
             await asyncio.sleep(PERIOD_S)
             for name, worker in list(self.workers.items()):
--- a/packages/cicadafold/src/cicadafold/dispatch/record_cleanup.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/record_cleanup.py
@@ -15,8 +15,8 @@
 __all__ = ["RecordCleaner"]
 
 PERIOD_S = 1.0
-# Ends are kept for this many times the promised period, so that a caller who
-# repeats a request seconds after that period still finds the end.
+# Ends are kept for this many times the promised period, so that a request
+# that is repeated after the end of its job still finds the record.
 END_KEPT_FACTOR = 1.5
 MILLISECONDS = 1000.0
 
--- a/packages/cicadafold/src/cicadafold/dispatch/runs.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/runs.py
@@ -141,16 +141,17 @@
             time in milliseconds, or None before the first report.
         deadline_ms: Latest end of a lease that was sent, by the worker's
             clock.
-        known_since_ms: Time since which this scheduler knows the worker; no
-            earlier scheduler has extended its lease after it.
+        known_since_ms: The later of the start of the term and the time at
+            which the worker was added. Until the worker answers, its lease
+            is assumed to have been granted then.
         acknowledged: Number up to which the ends are recorded.
         handled_end: Number of the newest end that was handled.
         unrecorded: Pairs of the number of a handled end and the journal
             batch that will record it.
         unconfirmed_starts: Start commands that were not answered and whose
-            run attempts ended in this incarnation; a later incarnation may
-            still carry them out. Resources and time sent, by task name and
-            attempt.
+            run attempts are known to be gone in this incarnation; a later
+            incarnation may still carry them out. Pairs of resources and time
+            sent, by task name and attempt.
         closed_to_starts: Whether the recorded list of workers says that
             this one gets no new run attempts.
         open_batch: Journal batch that records that the worker may get run
@@ -221,10 +222,7 @@
         if self.runs.pop(run.key, None) is None:
             return
         if run.start_unconfirmed:
-            self.unconfirmed_starts[run.key] = (
-                run.room,
-                run.start_sent_ms,
-            )
+            self.unconfirmed_starts[run.key] = (run.room, run.start_sent_ms)
         self.adjust_used(run.room, -1)
         if run.task is not None:
             run.task.runs.remove(run)
@@ -307,20 +305,17 @@
             stop command is answered.
         """
         found = []
-        for (name, attempt), (
-            resources,
-            start_sent_ms,
-        ) in self.unconfirmed_starts.items():
-            if now_ms - start_sent_ms > MAX_START_DELAY_MS:
+        for (name, attempt), (room, at_ms) in self.unconfirmed_starts.items():
+            if now_ms - at_ms > MAX_START_DELAY_MS:
                 continue
             run = RunAttempt(
                 task=None,
                 name=name,
                 attempt=attempt,
                 worker=self,
-                room=resources,
+                room=room,
                 state=RunState.UNCONFIRMED,
-                now_ms=start_sent_ms,
+                now_ms=at_ms,
             )
             run.start_unconfirmed = True
             found.append(run)
@@ -329,11 +324,11 @@
 
     def remaining_ms(self, now_ms):
         """Returns the least time until a draining worker leaves, in ms."""
-        said_ms = self.report.remaining_ms or DEFAULT_DRAIN_MS
-        return said_ms - (now_ms - self.reported_ms)
+        announced_ms = self.report.remaining_ms or DEFAULT_DRAIN_MS
+        return announced_ms - (now_ms - self.reported_ms)
 
     def mark_answering(self):
-        """Records that the worker answers, so that its leases go on."""
+        """Records that the worker answers, so its leases can be renewed."""
         self.silent_since_ms = None
         self.lapse_at_ms = None
         self.lapsed = False
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/conftest.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/conftest.py
@@ -7,7 +7,7 @@
 
 @pytest.fixture
 def report():
-    """Report of a worker of sixteen cores."""
+    """Returns the registry report of a worker with sixteen cores."""
     return model.HostReport(
         id="w",
         pool="p",
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_job_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_job_table.py
@@ -1,4 +1,4 @@
-"""Tests of how ends change jobs."""
+"""Tests of how end reports and recorded progress change jobs."""
 
 import types
 
@@ -16,19 +16,23 @@
 
 
 class FakeJournal:
-    """Notes which jobs have changed."""
+    """Journal writer that lists the recorded jobs.
+
+    Attributes:
+        changed: Recorded jobs in order.
+    """
 
     def __init__(self):
         self.changed = []
 
     def record_job(self, job):
-        """Takes a changed job and returns its batch."""
+        """Records a changed job and returns the number of its batch."""
         self.changed.append(job)
         return 1
 
 
 def make_table():
-    """Returns an empty table."""
+    """Returns a job table without jobs."""
     return job_table.JobTable(
         journal=FakeJournal(),
         estimates=estimates.DurationEstimates(),
@@ -38,12 +42,12 @@
 
 
 def make_events(table, *, caught_up=True, stopped=None):
-    """Returns the receiver of events of a table.
+    """Returns a worker event handler on a job table.
 
     Args:
-        table: Jobs.
+        table: Table of the jobs.
         caught_up: Whether the journal has been read to its end.
-        stopped: List that takes the runs that are stopped.
+        stopped: List to which stopped run attempts are added.
     """
     events = worker_events.WorkerEventHandler(
         job_table=table,
@@ -63,13 +67,13 @@
 
 @pytest.fixture
 def worker(report):
-    """A worker with room for sixteen tasks of the job."""
+    """Returns a worker with capacity for sixteen tasks of the job."""
     return runs.Worker(report=report, now_ms=0.0)
 
 
 @pytest.fixture
 def spec():
-    """A job of one step with two tasks that may fail once."""
+    """Returns a job of one step with two tasks; each may fail once."""
     rule = model.QueueRule(
         name="q", authority="h", prefix="/", pool="p", max_failures=2
     )
@@ -78,7 +82,7 @@
 
 
 def test_failure_reported_to_two_schedulers_counts_once(spec):
-    """A recorded failure that a worker lists again is the same one."""
+    """A recorded failure that a worker reports to the next term is not new."""
     first = make_table()
     job = first.add(spec)
     job.steps_of(0)
@@ -93,8 +97,8 @@
     assert again.state is model.JobState.FAILED
 
 
-def test_final_state_is_shown_once_recorded(spec):
-    """A completed job is shown as such only when that is durable."""
+def test_final_state_is_reported_once_recorded(spec):
+    """Callers see a job as completed only when the journal records it."""
     table = make_table()
     job = table.add(spec)
     step = job.steps_of(0)[0]
@@ -109,7 +113,7 @@
 
 
 def test_cancelled_job_stays_cancelled(spec):
-    """An end after the cancelling does not complete the job."""
+    """Tasks that are done after the cancellation do not complete the job."""
     table = make_table()
     job = table.add(spec)
     step = job.steps_of(0)[0]
@@ -120,7 +124,10 @@
 
 
 def test_late_member_of_a_gang_is_acknowledged_once_recorded(spec):
-    """Ends after the close of a job wait for the record of its end."""
+    """An end after the end of the job is acknowledged once that is durable.
+
+    Otherwise the next scheduler would start the gang again.
+    """
     table = make_table()
     steps = (model.StepSpec(tasks=2, gang=True),)
     job = table.add(msgspec.structs.replace(spec, steps=steps))
@@ -135,9 +142,10 @@
 
 
 def test_run_of_a_job_not_read_yet_is_kept_and_adopted(spec, worker):
-    """A run that the last scheduler has just started is not run twice.
+    """A task that the last scheduler has just started is not started twice.
 
-    Until its job is known it may take all of its worker.
+    Its job's record has not been read yet. Until it is, the resources of the
+    task are unknown and the whole capacity of the worker is reserved.
     """
     table = make_table()
     stopped = []
@@ -156,7 +164,7 @@
 
 
 def test_run_without_a_record_is_stopped(spec, worker):
-    """Nobody has asked for it, once all records have been read."""
+    """When all records have been read, no job can own the run attempt."""
     table = make_table()
     stopped = []
     events = make_events(table, stopped=stopped)
@@ -172,10 +180,13 @@
     ("caught_up", "known", "batch"),
     [(False, False, None), (True, False, 0), (False, True, 1)],
 )
-def test_end_of_a_job_not_read_yet_comes_again(
+def test_end_of_a_job_not_read_yet_is_deferred(
     spec, worker, caught_up, known, batch
 ):
-    """Else its task would be started again after it was done."""
+    """The worker reports the end again instead of having it acknowledged.
+
+    Otherwise the task would be started again after it was done.
+    """
     table = make_table()
     events = make_events(table, caught_up=caught_up)
     if known:
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_record_cleanup.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_record_cleanup.py
@@ -1,4 +1,4 @@
-"""Tests of how records of ended jobs are dropped."""
+"""Tests of dropping the journal records of ended jobs."""
 
 import asyncio
 import types
@@ -11,12 +11,18 @@
 
 @pytest.fixture
 def appended():
-    """Appends that were made."""
+    """Returns the list of appends to the store."""
     return []
 
 
 def make_cleaner(appended, forgotten, dropped):
-    """Returns a dropper on a store that notes its appends."""
+    """Returns a record cleaner on fakes that list what it does.
+
+    Args:
+        appended: List for topic, partition and entries of each append.
+        forgotten: List for the jobs whose end is dropped.
+        dropped: List for the jobs whose removal is recorded.
+    """
 
     async def append(topic, partition, entries):
         appended.append((topic, partition, entries))
@@ -30,7 +36,7 @@
 
 
 def test_description_is_dropped_and_the_end_is_kept(appended, monkeypatch):
-    """Callers may ask for the end long after the description is gone."""
+    """The end is kept for 1.5 times the 120 s in which callers may ask."""
     forgotten, dropped = [], []
     cleaner = make_cleaner(appended, forgotten, dropped)
     cleaner.partitions = {"ab": {3}}
--- a/packages/cicadafold/src/cicadafold/dispatch/ticketing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/ticketing.py
@@ -106,12 +106,12 @@
         """Whether a gang's permitted workers are too few to ever hold it."""
         if not step.spec.gang:
             return False
-        held = sum(
+        max_tasks = sum(
             self.max_tasks_when_idle(self.workers[name], step.spec)
             for name in tickets
             if name in self.workers
         )
-        return held * USABLE_SHARE < step.spec.tasks
+        return max_tasks * USABLE_SHARE < step.spec.tasks
 
     def max_tasks_when_idle(self, worker, spec):
         """Returns how many tasks of a step fit on a worker that is idle."""
@@ -135,20 +135,22 @@
         """
         spec = step.spec
         fitting = [
-            (-host.cores_milli, name)
-            for name, host in pool.items()
-            if (not spec.label or spec.label in host.labels)
+            (-view.cores_milli, name)
+            for name, view in pool.items()
+            if (not spec.label or spec.label in view.labels)
             and name not in known
         ]
         counts = [
             self.max_tasks_when_idle(self.workers[name], spec)
             for _, name in fitting
         ]
-        each = max(1.0, USABLE_SHARE * max(counts, default=1))
+        tasks_per_worker = max(1.0, USABLE_SHARE * max(counts, default=1))
         share = self.permitted_shares.get(
             step.job.rule.name, INITIAL_PERMITTED_SHARE
         )
-        wanted = math.ceil(spec.tasks / each / share * ADVISED_FACTOR)
+        wanted = math.ceil(
+            spec.tasks / tasks_per_worker / share * ADVISED_FACTOR
+        )
         wanted = max(MIN_ADVISED, min(MAX_ADVISED, wanted))
         return [name for _, name in sorted(fitting)][:wanted]
 
@@ -161,8 +163,8 @@
             granted: Number of workers that are permitted.
         """
         queue = step.job.rule.name
-        known = self.permitted_shares.get(queue, INITIAL_PERMITTED_SHARE)
-        found = max(MIN_PERMITTED_SHARE, granted / max(1, asked))
-        self.permitted_shares[queue] = known + PERMITTED_LEARNING_RATE * (
-            found - known
+        average = self.permitted_shares.get(queue, INITIAL_PERMITTED_SHARE)
+        share = max(MIN_PERMITTED_SHARE, granted / max(1, asked))
+        self.permitted_shares[queue] = average + PERMITTED_LEARNING_RATE * (
+            share - average
         )
--- a/packages/cicadafold/src/cicadafold/dispatch/watching.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/watching.py
@@ -12,7 +12,8 @@
 
 PERIOD_S = 0.25
 # A run attempt whose progress has not grown for this long is stalled; the
-# slowest healthy one gains one percent in a fraction of this time.
+# slowest healthy one gains one percent in a fraction of this time. The log
+# line names the limit.
 STALL_MS = 2500.0
 # Quarantine of a worker on which a run attempt stalled.
 QUARANTINE_MS = 4000.0
@@ -27,7 +28,7 @@
 MIN_SPEED = 0.05
 FULL_PERCENT = 100.0
 # Steps that wait longer than this are logged, at most MAX_REPORTED of them
-# in each period.
+# in each period. The log line names the limit.
 LONG_WAIT_MS = 4000.0
 REPORT_PERIOD_S = 2.0
 MAX_REPORTED = 5
@@ -95,7 +96,7 @@
         waiting.sort(key=lambda step: step.ready_ms)
         for step in waiting[:MAX_REPORTED]:
             LOG.info(
-                "Step has waiting tasks for longer than 4 s.",
+                "Step has been ready for more than 4 s with waiting tasks.",
                 fields=waiting_log_fields(step, now_ms),
             )
 
@@ -111,7 +112,8 @@
                 continue
             worker.quarantined_until_ms = now_ms + QUARANTINE_MS
             LOG.warning(
-                "Run attempt made no progress for 2.5 s, stopping it.",
+                "Run attempt made no progress for 2.5 s; stopping it and"
+                " quarantining its worker.",
                 fields=runs.run_log_fields(run) | {"percent": run.percent},
             )
             run.task.step.avoided_workers.add(worker.report.id)
@@ -178,10 +180,9 @@
         )
 
     def is_stalled(self, run, now_ms):
-        """Whether a run attempt has made no progress for too long.
+        """Whether a run attempt has made no progress for ``STALL_MS``.
 
-        Tasks without an end and filler tasks report no progress and never
-        count as stalled.
+        Lasting tasks and filler tasks never count as stalled.
         """
         if run.state is not runs.RunState.RUNNING or run.stop_requested:
             return False
--- a/packages/cicadafold/src/cicadafold/scheduling/ranking.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/ranking.py
@@ -8,6 +8,7 @@
 # A job that takes longer than this many times its objective has no value any
 # more.
 TOO_LATE_FACTOR = 3.0
+# Degrees of lateness; 0 is in time.
 LATE = 1
 TOO_LATE = 2
 
--- a/packages/cicadafold/src/cicadafold/scheduling/tests/test_decisions.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/tests/test_decisions.py
@@ -13,12 +13,12 @@
 
 
 @pytest.fixture
-def hosts():
+def workers():
     """Returns four workers with four free cores each, in two racks."""
-    made = {}
+    views_by_name = {}
     for number in range(4):
         rack = f"r1-{number // 2}"
-        made[f"h{number}"] = views.WorkerView(
+        views_by_name[f"h{number}"] = views.WorkerView(
             id=f"h{number}",
             rack=rack,
             domain="d",
@@ -27,7 +27,7 @@
             memory_mb=1000,
             accelerators=0,
         )
-    return made
+    return views_by_name
 
 
 def demand(tasks, cores_milli=1000, **fields):
@@ -36,22 +36,22 @@
     return views.Demand(tasks=tasks, need=need, **fields)
 
 
-def test_gang_is_placed_whole_or_not_at_all(hosts):
+def test_gang_is_placed_whole_or_not_at_all(workers):
     """No capacity is reserved for a gang that does not fit as a whole."""
-    assert placement.place(demand(17, gang=True), hosts, score=SCORE) == []
-    assert hosts["h0"].cores_milli == 4000
-    chosen = placement.place(demand(16, gang=True), hosts, score=SCORE)
+    assert placement.place(demand(17, gang=True), workers, score=SCORE) == []
+    assert workers["h0"].cores_milli == 4000
+    chosen = placement.place(demand(16, gang=True), workers, score=SCORE)
     assert len(chosen) == 16
 
 
-def test_placement_stays_within_capacity(hosts):
+def test_placement_stays_within_capacity(workers):
     """Tasks that exceed the free capacity are not placed."""
-    chosen = placement.place(demand(30, 1500), hosts, score=SCORE)
+    chosen = placement.place(demand(30, 1500), workers, score=SCORE)
     assert len(chosen) == 8
-    assert all(host.cores_milli >= 0 for host in hosts.values())
+    assert all(worker.cores_milli >= 0 for worker in workers.values())
 
 
-def test_label_per_worker_limit_and_permission_are_respected(hosts):
+def test_label_per_worker_limit_and_permission_are_respected(workers):
     """Only permitted workers with the label get tasks, up to the limit."""
     wanted = demand(
         9,
@@ -60,32 +60,32 @@
         running_per_worker={"h1": 1},
         allowed={"h1": "t", "h2": "t", "h3": "t"},
     )
-    chosen = placement.place(wanted, hosts, score=SCORE)
+    chosen = placement.place(wanted, workers, score=SCORE)
     assert sorted(chosen) == ["h1", "h3", "h3"]
 
 
-def test_gang_stays_in_one_rack_if_it_can(hosts):
+def test_gang_stays_in_one_rack_if_it_can(workers):
     """A gang that should stay in one rack is placed in one if it fits."""
     chosen = placement.place(
-        demand(8, gang=True, one_rack=True), hosts, score=SCORE
+        demand(8, gang=True, one_rack=True), workers, score=SCORE
     )
-    assert len({hosts[name].rack for name in chosen}) == 1
+    assert len({workers[name].rack for name in chosen}) == 1
 
 
-def test_data_rack_is_preferred(hosts):
+def test_data_rack_is_preferred(workers):
     """Tasks are placed in the rack of their data while capacity is free."""
-    chosen = placement.place(demand(8, data_rack="r1-1"), hosts, score=SCORE)
-    assert {hosts[name].rack for name in chosen} == {"r1-1"}
+    chosen = placement.place(demand(8, data_rack="r1-1"), workers, score=SCORE)
+    assert {workers[name].rack for name in chosen} == {"r1-1"}
 
 
-def test_workers_are_reserved_where_a_gang_fits_earliest(hosts):
+def test_workers_are_reserved_where_a_gang_fits_earliest(workers):
     """Only as many workers as the gang needs are reserved."""
     used = model.Resources(4000, 10, 0)
     futures = []
-    for number, host in enumerate(hosts.values()):
-        host.reserve(used)
+    for number, worker in enumerate(workers.values()):
+        worker.reserve(used)
         ends = [(1000.0 * (4 - number), used)]
-        futures.append(reservation.FutureCapacity(host, ends))
+        futures.append(reservation.FutureCapacity(worker, ends))
     found = reservation.reserve(demand(8, gang=True), futures)
     assert found.hosts == {"h2", "h3"}
     assert found.fits_in_ms == 2000.0
@@ -124,7 +124,7 @@
 
 def test_recorded_durations_correct_declared_ones():
     """The estimate lies between the declared duration and the mean."""
-    learned = estimates.DurationEstimates()
+    durations = estimates.DurationEstimates()
     for _ in range(300):
-        learned.record_duration("q", 1000.0)
-    assert 100.0 < learned.task_duration_ms("q", 100.0) < 1000.0
+        durations.record_duration("q", 1000.0)
+    assert 100.0 < durations.task_duration_ms("q", 100.0) < 1000.0
--- a/packages/cicadafold/src/cicadafold/scheduling/views.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/views.py
@@ -6,6 +6,7 @@
 
 __all__ = ["Demand", "WorkerView", "rack_of"]
 
+# A label that starts with this and contains a hyphen names a rack.
 RACK_PREFIX = "r"
 
 
