--- a/packages/cicadafold/src/cicadafold/dispatch/job_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/job_table.py
@@ -80,7 +80,7 @@
     def objective(self, job):
         """Returns the latency objective of a job, in milliseconds."""
         rule = job.rule
-        critical_path_ms = estimates.critical_path_ms(
+        chain = estimates.critical_path_ms(
             job.spec.steps,
             lambda step: self.estimates.task_duration_ms(
                 rule.name, step.estimate_ms
@@ -90,7 +90,7 @@
         if rule.advice is not None:
             per_call_ms = rule.advice.per_host_ms * ADVISED_WORKERS
             advice_ms = rule.advice.base_ms + per_call_ms
-        return ranking.objective_ms(rule, critical_path_ms, advice_ms)
+        return ranking.objective_ms(rule, chain, advice_ms)
 
     def restore(self, spec, progress, *, cancelled):
         """Adds a job from the journal and returns its running state.
