--- a/packages/cicadafold/src/cicadafold/dispatch/term.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/term.py
@@ -28,14 +28,15 @@
 
 __all__ = ["Term", "TermEnded"]
 
-# Jobs are known without much delay while each partition of the journal was
+# New jobs are known without much delay if every partition of the journal was
 # read within this time.
 MAX_TAIL_AGE_S = 1.6
 # A term whose recovery takes longer reports itself as degraded, so that
 # another process takes over.
 MAX_RECOVERY_MS = 3500.0
-# Time within which all entry hosts send accepted jobs to the scheduler of a
-# new term.
+# Time after the start of a term by which all entry hosts notify its scheduler
+# of accepted jobs. An earlier scheduler may have started jobs that are read
+# from the journal before that.
 INHERITED_PERIOD_MS = 2000.0
 
 LOG = logs.get_logger("term")
@@ -442,14 +443,14 @@
             not self.ended.is_set() and self.stall_detector.commands_allowed()
         )
 
-    def has_read_up_to(self, since_ms):
+    def has_read_up_to(self, time_ms):
         """Whether all job records that existed at a time have been read.
 
         Args:
-            since_ms: Monotonic time, in milliseconds.
+            time_ms: Monotonic time, in milliseconds.
         """
-        since_s = since_ms / clock.MILLISECONDS
-        return all(tail.complete_until_s > since_s for tail in self.job_tails)
+        time_s = time_ms / clock.MILLISECONDS
+        return all(tail.complete_until_s > time_s for tail in self.job_tails)
 
     def health(self):
         """Returns the health of the term, as reported to peers."""
