--- a/packages/cicadafold/src/cicadafold/cli/base.py
+++ b/packages/cicadafold/src/cicadafold/cli/base.py
@@ -6,7 +6,7 @@
 
 from cicadafold.cli import client
 
-__all__ = ["COMMANDS", "CallCommand", "registered"]
+__all__ = ["COMMANDS", "CallCommand", "register_command"]
 
 COMMANDS = []
 
@@ -17,7 +17,7 @@
 ]
 
 
-def registered(cls):
+def register_command(cls):
     """Registers a command with the application."""
     COMMANDS.append(cls)
     return cls
@@ -28,12 +28,12 @@
 
     options = COMMON_OPTIONS
 
-    def call(self, method, path, kind, message=None):
+    def call_api(self, method, path, message_type, message=None):
         """Makes a call with the command's common options."""
-        return client.call(
+        return client.call_api(
             method,
             path,
-            kind,
+            message_type,
             address=self.option("address") or "",
             token=self.option("token") or "",
             message=message,
@@ -42,14 +42,14 @@
     def handle(self):
         """Runs the command and returns its exit code."""
         try:
-            result = self.run_call()
+            result = self.perform()
         except client.CallFailed as error:
             self.show_failure(error)
             return int(error.exit_code)
         self.show(result)
         return int(self.exit_code(result))
 
-    def run_call(self):
+    def perform(self):
         """Makes the command's calls and returns what to show."""
         raise NotImplementedError
 
@@ -62,10 +62,10 @@
         if self.option("output") == "json":
             self.line(msgspec.json.encode(result).decode())
         else:
-            for line in self.text(result):
+            for line in self.text_lines(result):
                 self.line(line)
 
-    def text(self, result):
+    def text_lines(self, result):
         """Yields the lines of a result as text."""
         raise NotImplementedError
 
--- a/packages/cicadafold/src/cicadafold/cli/client.py
+++ b/packages/cicadafold/src/cicadafold/cli/client.py
@@ -8,7 +8,7 @@
 from cicadafold_schema import messages
 import msgspec
 
-__all__ = ["CallFailed", "ExitCode", "call", "exit_code_of"]
+__all__ = ["CallFailed", "ExitCode", "call_api", "exit_code_of"]
 
 TIMEOUT_S = 60.0
 FIRST_FAILURE_STATUS = 300
@@ -64,7 +64,9 @@
     return known or EXIT_BY_OUTCOME.get(reply.outcome, ExitCode.FAILED)
 
 
-def call(method, path, kind, *, address="", token="", message=None):
+def call_api(
+    method, path, message_type, *, address="", token="", message=None
+):
     """Makes one call and returns the decoded reply.
 
     Args:
@@ -82,12 +84,12 @@
     base = address or os.environ.get(ADDRESS_VARIABLE, DEFAULT_ADDRESS)
     token = token or os.environ.get(TOKEN_VARIABLE, "")
     body = asyncio.run(
-        exchange(method, base.rstrip("/") + path, token, message)
+        send_http_request(method, base.rstrip("/") + path, token, message)
     )
-    return msgspec.json.decode(body, type=kind)
+    return msgspec.json.decode(body, type=message_type)
 
 
-async def exchange(method, url, token, message):
+async def send_http_request(method, url, token, message):
     """Exchanges one HTTP request and returns the body of the reply."""
     headers = {"Authorization": f"Bearer {token}"} if token else {}
     data = None if message is None else msgspec.json.encode(message)
@@ -100,33 +102,33 @@
                 body = await reply.read()
                 if reply.status < FIRST_FAILURE_STATUS:
                     return body
-                raise refused(body)
+                raise failure_from_reply(body)
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
-        raise unreachable(url, error) from error
+        raise failure_without_reply(url, error) from error
 
 
-def refused(body):
+def failure_from_reply(body):
     """Builds the failure of a call that was refused."""
     try:
         reply = ERROR_DECODER.decode(body)
     except msgspec.DecodeError:
-        reply = error_reply(
+        reply = make_error_reply(
             "The answer is not one of an entry host.",
             "Check the address.",
         )
     return CallFailed(reply=reply, exit_code=exit_code_of(reply))
 
 
-def unreachable(url, error):
+def failure_without_reply(url, error):
     """Builds the failure of a call without answer."""
-    reply = error_reply(
+    reply = make_error_reply(
         f"No answer from {url}: {type(error).__name__}.",
         f"Check --address or {ADDRESS_VARIABLE}, then ask for the status.",
     )
     return CallFailed(reply=reply, exit_code=ExitCode.UNREACHABLE)
 
 
-def error_reply(message, remedy):
+def make_error_reply(message, remedy):
     """Builds an error that no entry host has sent."""
     return messages.ErrorReply(
         outcome=messages.Outcome.unknown,
--- a/packages/cicadafold/src/cicadafold/cli/configuration_commands.py
+++ b/packages/cicadafold/src/cicadafold/cli/configuration_commands.py
@@ -27,9 +27,9 @@
 class ConfigurationCommand(base.CallCommand):
     """A command that shows or changes the configuration."""
 
-    def current(self):
+    def current_configuration(self):
         """Returns the configuration in force."""
-        return self.call("GET", PATH, messages.Configuration)
+        return self.call_api("GET", PATH, messages.Configuration)
 
     def apply(self, configuration, base_revision, author):
         """Applies a configuration on a base revision."""
@@ -39,9 +39,9 @@
             author=author or "",
             configuration=configuration,
         )
-        return self.call("POST", PATH, messages.Configuration, change)
+        return self.call_api("POST", PATH, messages.Configuration, change)
 
-    def text(self, result):
+    def text_lines(self, result):
         """Yields the lines of a configuration."""
         yield f"revision {result.revision}"
         yield f"headroom_slots {result.headroom_slots}"
@@ -69,7 +69,7 @@
         yield f"team {team.name}: weight {team.weight}, quota {quota}"
 
 
-def read_file(path, kind):
+def read_file(path, message_type):
     """Reads a message from a TOML or JSON file.
 
     Raises:
@@ -79,11 +79,13 @@
         with open(path, "rb") as source:
             content = source.read()
         if path.endswith(".json"):
-            return msgspec.json.decode(content, type=kind)
-        return msgspec.convert(tomllib.loads(content.decode()), type=kind)
+            return msgspec.json.decode(content, type=message_type)
+        return msgspec.convert(
+            tomllib.loads(content.decode()), type=message_type
+        )
     except (OSError, ValueError) as error:
-        reply = client.error_reply(
-            f"{path} is not a {kind.__name__}: {error}.",
+        reply = client.make_error_reply(
+            f"{path} is not a {message_type.__name__}: {error}.",
             "Correct the file.",
         )
         reply.outcome = messages.Outcome.not_run
@@ -92,37 +94,37 @@
         ) from error
 
 
-@base.registered
+@base.register_command
 class ConfigShowCommand(ConfigurationCommand):
     """Shows the configuration in force."""
 
     name = "config show"
     description = "Shows the configuration in force."
 
-    def run_call(self):
+    def perform(self):
         """Asks for the configuration."""
-        return self.current()
+        return self.current_configuration()
 
 
-@base.registered
+@base.register_command
 class ConfigHistoryCommand(base.CallCommand):
     """Lists the accepted changes."""
 
     name = "config history"
     description = "Lists the accepted changes, newest last."
 
-    def run_call(self):
+    def perform(self):
         """Asks for the history."""
-        return self.call("GET", PATH + "/history", messages.History)
+        return self.call_api("GET", PATH + "/history", messages.History)
 
-    def text(self, result):
+    def text_lines(self, result):
         """Yields one line for each change."""
         for entry in result.entries:
             author = entry.author or "unknown author"
             yield f"revision {entry.revision}: {entry.change_id} by {author}"
 
 
-@base.registered
+@base.register_command
 class ConfigApplyCommand(ConfigurationCommand):
     """Replaces the configuration on a base revision."""
 
@@ -135,7 +137,7 @@
         option("author", None, "Your name, for the history.", flag=False),
     ]
 
-    def run_call(self):
+    def perform(self):
         """Applies the file."""
         wanted = read_file(self.argument("file"), messages.Configuration)
         given = self.option("base")
@@ -143,23 +145,23 @@
         return self.apply(wanted, revision, self.option("author"))
 
 
-@base.registered
+@base.register_command
 class KindListCommand(ConfigurationCommand):
     """Lists the kinds of work."""
 
     name = "kind list"
     description = "Lists the kinds of work."
 
-    def run_call(self):
+    def perform(self):
         """Asks for the configuration."""
-        return self.current()
+        return self.current_configuration()
 
-    def text(self, result):
+    def text_lines(self, result):
         """Yields one line for each kind."""
         yield from kind_lines(result)
 
 
-@base.registered
+@base.register_command
 class KindSetCommand(ConfigurationCommand):
     """Adds or replaces one kind of work."""
 
@@ -167,32 +169,32 @@
     description = "Adds or replaces one kind of work."
     arguments = [argument("file", "TOML or JSON file of one kind.")]
 
-    def run_call(self):
+    def perform(self):
         """Changes the configuration by one kind."""
         wanted = read_file(self.argument("file"), messages.Kind)
-        current = self.current()
+        current = self.current_configuration()
         kinds = [k for k in current.kinds if k.name != wanted.name]
         current.kinds = [*kinds, wanted]
         return self.apply(current, current.revision, "kind set")
 
 
-@base.registered
+@base.register_command
 class TeamListCommand(ConfigurationCommand):
     """Lists the teams."""
 
     name = "team list"
     description = "Lists the teams."
 
-    def run_call(self):
+    def perform(self):
         """Asks for the configuration."""
-        return self.current()
+        return self.current_configuration()
 
-    def text(self, result):
+    def text_lines(self, result):
         """Yields one line for each team."""
         yield from team_lines(result)
 
 
-@base.registered
+@base.register_command
 class TeamSetCommand(ConfigurationCommand):
     """Adds or replaces one team."""
 
@@ -205,14 +207,14 @@
         option("quota-cores", None, "Cores; 0 is unlimited.", flag=False),
     ]
 
-    def run_call(self):
+    def perform(self):
         """Changes the configuration by one team."""
         wanted = messages.Team(
             name=self.argument("team"),
             weight=int(self.option("weight") or 1),
             quota_cores=float(self.option("quota-cores") or 0),
         )
-        current = self.current()
+        current = self.current_configuration()
         teams = [t for t in current.teams if t.name != wanted.name]
         current.teams = [*teams, wanted]
         return self.apply(current, current.revision, "team set")
--- a/packages/cicadafold/src/cicadafold/cli/job_commands.py
+++ b/packages/cicadafold/src/cicadafold/cli/job_commands.py
@@ -45,7 +45,7 @@
 
     options = OPTIONS
 
-    def jobs(self):
+    def queue_client(self):
         """Returns the client of the queue that the options name."""
         return job_client.JobClient(
             address=self.option("address") or "127.0.0.1:8161",
@@ -56,18 +56,18 @@
     def handle(self):
         """Runs the command and returns its exit code."""
         try:
-            return int(self.run_job())
+            return int(self.call_queue())
         except exception.CicadafoldError as error:
             self.line_error(error.message)
             self.line_error(f"Remedy: {error.remedy}")
             return int(EXIT_CODES.get(type(error), client.ExitCode.FAILED))
 
-    def run_job(self):
+    def call_queue(self):
         """Makes the call and returns the exit code."""
         raise NotImplementedError
 
 
-@base.registered
+@base.register_command
 class JobSubmitCommand(JobCommand):
     """Submits a job file and prints the job's identifier."""
 
@@ -79,15 +79,15 @@
         option("id", None, "16 hexadecimal digits; random.", flag=False),
     ]
 
-    def run_job(self):
+    def call_queue(self):
         """Submits the job."""
         job = self.option("id") or secrets.token_hex(ID_BYTES)
-        self.jobs().submit(job, job_file.load(self.argument("file")))
+        self.queue_client().submit(job, job_file.load(self.argument("file")))
         self.line(job)
         return client.ExitCode.DONE
 
 
-@base.registered
+@base.register_command
 class JobStateCommand(JobCommand):
     """Prints the state of a job."""
 
@@ -95,14 +95,14 @@
     description = "Prints the state of a job."
     arguments = [argument("id", "Identifier of the job.")]
 
-    def run_job(self):
+    def call_queue(self):
         """Asks for the state."""
-        state = self.jobs().state(self.argument("id"))
+        state = self.queue_client().state(self.argument("id"))
         self.line(state or "no such job")
         return client.ExitCode.DONE if state else client.ExitCode.FAILED
 
 
-@base.registered
+@base.register_command
 class JobCancelCommand(JobCommand):
     """Cancels a job."""
 
@@ -110,27 +110,27 @@
     description = "Cancels a job."
     arguments = [argument("id", "Identifier of the job.")]
 
-    def run_job(self):
+    def call_queue(self):
         """Cancels the job."""
-        known = self.jobs().cancel(self.argument("id"))
+        known = self.queue_client().cancel(self.argument("id"))
         self.line("cancelled" if known else "no such job")
         return client.ExitCode.DONE if known else client.ExitCode.FAILED
 
 
-@base.registered
+@base.register_command
 class JobPendingCommand(JobCommand):
     """Prints how many jobs of a queue have not started."""
 
     name = "job pending"
     description = "Prints how many jobs of a queue have not started."
 
-    def run_job(self):
+    def call_queue(self):
         """Asks for the count."""
-        self.line(str(self.jobs().pending()))
+        self.line(str(self.queue_client().pending()))
         return client.ExitCode.DONE
 
 
-@base.registered
+@base.register_command
 class JobExplainCommand(command.Command):
     """Tells from the logs of all hosts what happened to a job."""
 
@@ -145,7 +145,7 @@
         """Prints the lines about the job in the order of time."""
         found = []
         for path in self.argument("logs"):
-            found.extend(lines_about(self.argument("id"), path))
+            found.extend(log_lines_of_job(self.argument("id"), path))
         for line in sorted(found, key=lambda line: line["asctime"]):
             details = " ".join(
                 f"{name}={value}"
@@ -158,7 +158,7 @@
         return int(done)
 
 
-def lines_about(job, path):
+def log_lines_of_job(job, path):
     """Yields the log lines of a file that name a job."""
     with pathlib.Path(path).open(encoding="utf-8", errors="replace") as lines:
         for text in lines:
--- a/packages/cicadafold/src/cicadafold/cli/main.py
+++ b/packages/cicadafold/src/cicadafold/cli/main.py
@@ -22,10 +22,10 @@
 
 def make_application():
     """Returns the application with all registered commands."""
-    made = application.Application("cicadafold", "0.1.0")
+    app = application.Application("cicadafold", "0.1.0")
     for cls in base.COMMANDS:
-        made.add(cls())
-    return made
+        app.add(cls())
+    return app
 
 
 def main():
--- a/packages/cicadafold/src/cicadafold/cli/operator_commands.py
+++ b/packages/cicadafold/src/cicadafold/cli/operator_commands.py
@@ -22,18 +22,18 @@
 ]
 
 
-@base.registered
+@base.register_command
 class CellCommand(base.CallCommand):
     """Shows members, racks and their owners."""
 
     name = "cell"
     description = "Shows members, racks and their owners."
 
-    def run_call(self):
+    def perform(self):
         """Asks for the cell."""
-        return self.call("GET", "/v1/cell", messages.Cell)
+        return self.call_api("GET", "/v1/cell", messages.Cell)
 
-    def text(self, result):
+    def text_lines(self, result):
         """Yields one line for each member and rack."""
         yield f"revision {result.revision}, log offset {result.log_offset}"
         for member in result.members:
@@ -50,23 +50,23 @@
             )
 
 
-@base.registered
+@base.register_command
 class DrainCommand(base.CallCommand):
     """Drains an entry host and stops it gracefully."""
 
     name = "drain"
     description = "Drains the entry host that --address names."
 
-    def run_call(self):
+    def perform(self):
         """Begins the drain."""
-        return self.call("POST", "/v1/drain", messages.DrainReply)
+        return self.call_api("POST", "/v1/drain", messages.DrainReply)
 
-    def text(self, result):
+    def text_lines(self, result):
         """Yields the state of the drained member."""
         yield f"{result.member}: {result.state}"
 
 
-@base.registered
+@base.register_command
 class ReportBurnCommand(base.CallCommand):
     """Reports service-level burn per kind over several windows."""
 
@@ -77,16 +77,16 @@
         option("html", None, "Also write a page to this file.", flag=False),
     ]
 
-    def run_call(self):
+    def perform(self):
         """Asks for the report and writes the page."""
-        report = self.call("GET", "/v1/reports/burn", messages.BurnReport)
+        report = self.call_api("GET", "/v1/reports/burn", messages.BurnReport)
         path = self.option("html")
         if path:
             page = burn_page.render(report)
             pathlib.Path(path).write_text(page, encoding="utf-8")
         return report
 
-    def text(self, result):
+    def text_lines(self, result):
         """Yields one line for each kind and window."""
         for kind in result.kinds:
             yield (
@@ -102,7 +102,7 @@
             yield f"not included: {name} did not answer"
 
 
-@base.registered
+@base.register_command
 class SettingsCheckCommand(command.Command):
     """Checks a settings file and lists every fault with its remedy."""
 
@@ -121,7 +121,7 @@
         return int(client.ExitCode.USAGE)
 
 
-@base.registered
+@base.register_command
 class SettingsListCommand(command.Command):
     """Lists all settings as a table in Markdown."""
 
--- a/packages/cicadafold/src/cicadafold/cli/request_commands.py
+++ b/packages/cicadafold/src/cicadafold/cli/request_commands.py
@@ -18,7 +18,7 @@
     "WaitCommand",
 ]
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_S = 1000
 
 
 class AnswerCommand(base.CallCommand):
@@ -28,7 +28,7 @@
         """Returns an exit code by the outcome."""
         return client.EXIT_BY_OUTCOME.get(result.outcome, client.ExitCode.DONE)
 
-    def text(self, result):
+    def text_lines(self, result):
         """Yields the lines of an answer."""
         yield f"{result.request_id}: {result.outcome.value}"
         if result.worker:
@@ -37,7 +37,7 @@
             yield f"result: {result.result}"
 
 
-@base.registered
+@base.register_command
 class SubmitCommand(AnswerCommand):
     """Submits a request and waits for its answer."""
 
@@ -54,9 +54,9 @@
         option("no-wait", None, "Return once it is accepted."),
     ]
 
-    def run_call(self):
+    def perform(self):
         """Submits the request."""
-        asked = messages.SubmitRequest(
+        submit_request = messages.SubmitRequest(
             request_id=self.option("id") or uuid.uuid4().hex,
             kind=self.argument("kind"),
             team=self.option("team") or "",
@@ -65,7 +65,9 @@
             deadline_ms=int(self.option("deadline-ms") or 0),
             wait=not self.option("no-wait"),
         )
-        return self.call("POST", "/v1/requests", messages.Answer, asked)
+        return self.call_api(
+            "POST", "/v1/requests", messages.Answer, submit_request
+        )
 
 
 class RequestCommand(AnswerCommand):
@@ -75,13 +77,13 @@
     method = "GET"
     suffix = ""
 
-    def run_call(self):
+    def perform(self):
         """Makes the call on the request."""
         path = f"/v1/requests/{self.argument('request_id')}{self.suffix}"
-        return self.call(self.method, path, messages.Answer)
+        return self.call_api(self.method, path, messages.Answer)
 
 
-@base.registered
+@base.register_command
 class StatusCommand(RequestCommand):
     """Shows the state of a recorded request."""
 
@@ -89,7 +91,7 @@
     description = "Shows the state of a recorded request."
 
 
-@base.registered
+@base.register_command
 class WaitCommand(RequestCommand):
     """Waits for the final answer of a recorded request."""
 
@@ -99,7 +101,7 @@
     suffix = "/wait"
 
 
-@base.registered
+@base.register_command
 class CancelCommand(RequestCommand):
     """Cancels a request."""
 
@@ -109,7 +111,7 @@
     suffix = "/cancel"
 
 
-@base.registered
+@base.register_command
 class ExplainCommand(base.CallCommand):
     """Tells why a request waits, or where and why it was placed."""
 
@@ -117,15 +119,15 @@
     description = "Tells why a request waits or where it was placed."
     arguments = [argument("request_id", "Request id.")]
 
-    def run_call(self):
+    def perform(self):
         """Asks for the events of the request."""
         path = f"/v1/requests/{self.argument('request_id')}/explain"
-        return self.call("GET", path, messages.Explanation)
+        return self.call_api("GET", path, messages.Explanation)
 
-    def text(self, result):
+    def text_lines(self, result):
         """Yields one line for each event."""
         for event in result.events:
             at = datetime.datetime.fromtimestamp(
-                event.at_ms / MILLISECONDS, tz=datetime.UTC
+                event.at_ms / MILLISECONDS_PER_S, tz=datetime.UTC
             )
             yield f"{at:%H:%M:%S.%f} {event.member}: {event.text}"
--- a/packages/cicadafold/src/cicadafold/service/app.py
+++ b/packages/cicadafold/src/cicadafold/service/app.py
@@ -23,7 +23,7 @@
 Role = registry.Role
 
 
-class Guard:
+class Authorizer:
     """Checks the token of each call against the settings."""
 
     def __init__(self, *, settings):
@@ -55,38 +55,38 @@
         accepted = [wanted]
         if role is Role.CALLER and self.tokens[Role.OPERATOR]:
             accepted.append(self.tokens[Role.OPERATOR])
-        if not any(same(given, token) for token in accepted):
+        if not any(tokens_equal(given, token) for token in accepted):
             raise exception.Forbidden(
                 message=f"The token does not have the role {role.value}.",
                 remedy="Use the token of that role from the settings.",
             )
 
 
-def same(given, token):
+def tokens_equal(given, token):
     """Compares secrets in constant time."""
     return hmac.compare_digest(given.encode(), token.encode())
 
 
-def make_endpoint(node, guard, found):
+def make_endpoint(node, authorizer, call):
     """Returns the handler that aiohttp calls for a registered call."""
-    counts = found.role in (Role.CALLER, Role.OPERATOR)
+    is_counted = call.role in (Role.CALLER, Role.OPERATOR)
 
     async def endpoint(request):
-        node.in_flight += counts
+        node.in_flight += is_counted
         try:
-            guard.check(found.role, request)
-            reply = await found.handler(node, request)
+            authorizer.check(call.role, request)
+            reply = await call.handler(node, request)
         except exception.CicadafoldError as error:
-            reply = error_reply(error)
+            reply = error_response(error)
             if error.status in (401, 403):
                 LOG.warning("%s was refused: %s", request.path, error.message)
         except (web.HTTPException, ConnectionError):
             raise
         except Exception as error:
             LOG.exception("%s failed.", request.path)
-            reply = error_reply(internal(error))
+            reply = error_response(internal_error(error))
         finally:
-            node.in_flight -= counts
+            node.in_flight -= is_counted
         if node.view.draining and not reply.prepared:
             reply.force_close()
         return reply
@@ -94,7 +94,7 @@
     return endpoint
 
 
-def error_reply(error):
+def error_response(error):
     """Returns an error as an HTTP reply."""
     headers = {}
     if error.retry_after_ms is not None:
@@ -105,7 +105,7 @@
     )
 
 
-def internal(error):
+def internal_error(error):
     """Builds the error of a fault of this program."""
     return exception.Internal(
         message=f"The entry host failed: {type(error).__name__}.",
@@ -115,7 +115,7 @@
 
 async def answer_unknown_call(request):
     """Gives unknown paths and methods the schema's error."""
-    return error_reply(
+    return error_response(
         exception.NotFound(
             message=f"There is no call {request.method} {request.path}.",
             remedy="Use a call of the schema file.",
@@ -127,10 +127,10 @@
     """Builds the application of an entry host."""
     settings = node.settings
     app = web.Application(client_max_size=settings["limits.max_body_bytes"])
-    guard = Guard(settings=settings)
-    for found in registry.CALLS:
+    authorizer = Authorizer(settings=settings)
+    for call in registry.CALLS:
         app.router.add_route(
-            found.method, found.path, make_endpoint(node, guard, found)
+            call.method, call.path, make_endpoint(node, authorizer, call)
         )
     app.router.add_route("*", "/{path:.*}", answer_unknown_call)
     return app
--- a/packages/cicadafold/src/cicadafold/service/caller_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/caller_calls.py
@@ -19,10 +19,10 @@
 
 __all__ = ["cancel", "explain", "status", "submit", "wait"]
 
-WAIT_S = 30.0
+ANSWER_TIMEOUT_S = 30.0
 PEER_TIMEOUT_S = 1.0
 CONFIRM_TIMEOUT_S = 1.0
-MICROSECONDS = 1_000_000
+MICROSECONDS_PER_S = 1_000_000
 
 SUBMIT_DECODER = msgspec.json.Decoder(messages.SubmitRequest)
 EXPLANATION_DECODER = msgspec.json.Decoder(messages.Explanation)
@@ -38,7 +38,7 @@
         )
 
 
-def known_kind(node, submit):
+def require_kind_and_team(node, submit):
     """Returns the kind of a request whose team is known too."""
     kind = node.kind(submit.kind)
     if kind is None:
@@ -57,14 +57,14 @@
 @registry.call("POST", "/v1/requests", registry.Role.CALLER)
 async def submit(node, request):
     """Places a request, runs it and answers with its result."""
-    began_s = time.perf_counter()
+    start_s = time.perf_counter()
     body = await codec.read_body(request)
-    asked = codec.decode(SUBMIT_DECODER, body)
+    submit_request = codec.decode(SUBMIT_DECODER, body)
     require_ready(node)
-    kind = known_kind(node, asked)
+    kind = require_kind_and_team(node, submit_request)
     good = False
     try:
-        answer = await run(node, asked, kind)
+        answer = await run_request(node, submit_request, kind)
         good = answer.outcome is not messages.Outcome.failed
     except exception.CicadafoldError as error:
         node.metrics.count(
@@ -72,39 +72,41 @@
         )
         raise
     finally:
-        elapsed_s = time.perf_counter() - began_s
+        elapsed_s = time.perf_counter() - start_s
         in_time = elapsed_s * clock.MILLISECONDS <= kind.objective_ms
         node.burn.note(kind.name, good=good and in_time)
-    note_answer(node, kind, answer, elapsed_s)
+    record_answer_metrics(node, kind, answer, elapsed_s)
     accepted = answer.outcome is messages.Outcome.accepted
     return codec.json_response(answer, status=202 if accepted else 200)
 
 
-def note_answer(node, kind, answer, elapsed_s):
+def record_answer_metrics(node, kind, answer, elapsed_s):
     """Records the metrics of an answer."""
     metrics = node.metrics
     metrics.count("answers", kind=kind.name, outcome=answer.outcome.value)
-    metrics.record_us("answer_time", elapsed_s * MICROSECONDS, kind=kind.name)
+    metrics.record_us(
+        "answer_time", elapsed_s * MICROSECONDS_PER_S, kind=kind.name
+    )
     if answer.decision_us:
         metrics.record_us("decision", answer.decision_us, kind=kind.name)
     metrics.record_us("waiting", answer.waited_us, kind=kind.name)
 
 
-async def run(node, asked, kind):
+async def run_request(node, submit_request, kind):
     """Runs a request by the path that its kind asks for."""
-    budget_ms = asked.deadline_ms or kind.deadline_ms
+    budget_ms = submit_request.deadline_ms or kind.deadline_ms
     deadline_ms = clock.monotonic_ms() + budget_ms
     is_service = kind.shape is messages.Shape.service
     if kind.durable or is_service or not kind.idempotent:
-        return await node.coordinator.submit(asked, kind, deadline_ms)
+        return await node.coordinator.submit(submit_request, kind, deadline_ms)
     request = placing.PlacingRequest(
-        submit=asked,
+        submit=submit_request,
         kind=kind,
         deadline_ms=deadline_ms,
-        first=asked.attempt == 1,
+        first=submit_request.attempt == 1,
     )
     reply = await node.coordinator.placing.place(request)
-    return answers.answer_of_reply(asked.request_id, reply)
+    return answers.answer_of_reply(submit_request.request_id, reply)
 
 
 async def recorded_entry(node, request_id):
@@ -123,11 +125,11 @@
         confirmed = await node.tail.confirm(timeout_s=CONFIRM_TIMEOUT_S)
         entry = node.tail.state.requests.get(request_id)
         if entry is None:
-            raise unknown_request(confirmed)
+            raise missing_entry_error(confirmed)
     return entry
 
 
-def unknown_request(confirmed):
+def missing_entry_error(confirmed):
     """Builds the error of a request that the ledger does not show."""
     if confirmed:
         return exception.UnknownRequest(
@@ -145,10 +147,10 @@
 async def status(node, request):
     """Reports the state of a recorded request without waiting."""
     entry = await recorded_entry(node, request.match_info["request_id"])
-    return codec.json_response(status_of(node, entry))
+    return codec.json_response(status_answer(node, entry))
 
 
-def status_of(node, entry):
+def status_answer(node, entry):
     """Returns the state of a recorded request as an answer."""
     outcome = entry.outcome
     if outcome is None:
@@ -168,11 +170,11 @@
 async def wait(node, request):
     """Waits for the final answer of a recorded request."""
     entry = await recorded_entry(node, request.match_info["request_id"])
-    asked = messages.SubmitRequest(
+    submit_request = messages.SubmitRequest(
         request_id=entry.request_id, kind=entry.kind, team=entry.team
     )
-    deadline_ms = clock.monotonic_ms() + WAIT_S * clock.MILLISECONDS
-    answer = await node.coordinator.follow(asked, deadline_ms)
+    deadline_ms = clock.monotonic_ms() + ANSWER_TIMEOUT_S * clock.MILLISECONDS
+    answer = await node.coordinator.follow(submit_request, deadline_ms)
     return codec.json_response(answer)
 
 
@@ -185,13 +187,13 @@
     request_id = request.match_info["request_id"]
     entry = node.tail.state.requests.get(request_id)
     if entry is not None and not control_state.is_open(entry):
-        return codec.json_response(status_of(node, entry))
+        return codec.json_response(status_answer(node, entry))
     lane = messages.Lane.urgent
     for rack in list(node.hosts.racks):
-        reply = await cancel_at(node, rack, request_id, lane)
+        reply = await cancel_on_rack(node, rack, request_id, lane)
         if reply is None or reply.status is frames.ReplyStatus.REFUSED:
             continue
-        return codec.json_response(cancel_answer(node, entry, reply))
+        return codec.json_response(answer_cancellation(node, entry, reply))
     if entry is None:
         raise exception.UnknownRequest(
             message="No owner of a rack holds this request.",
@@ -204,24 +206,26 @@
     )
 
 
-async def cancel_at(node, rack, request_id, lane):
+async def cancel_on_rack(node, rack, request_id, lane):
     """Asks the owner of a rack to cancel; None if it is not reached."""
     owner = node.coordinator.placing.live_owner(rack)
     if owner is None:
         return None
     frame = frames.CancelFrame(serial=0, rack=rack, request_id=request_id)
     try:
-        reply = await node.call_member(owner, lane, frame, timeout_s=WAIT_S)
+        reply = await node.call_member(
+            owner, lane, frame, timeout_s=ANSWER_TIMEOUT_S
+        )
     except (exception.LinkNotOpen, exception.LinkLost, TimeoutError):
         return None
     if reply.status is frames.ReplyStatus.MOVED:
         return None
     if reply.status is frames.ReplyStatus.REDIRECT:
-        return await cancel_at(node, reply.rack, request_id, lane)
+        return await cancel_on_rack(node, reply.rack, request_id, lane)
     return reply
 
 
-def cancel_answer(node, entry, reply):
+def answer_cancellation(node, entry, reply):
     """Returns the answer to a cancellation and records it."""
     outcome = answers.OUTCOME_BY_STATUS[reply.status]
     request_id = entry.request_id if entry else ""
@@ -245,7 +249,10 @@
     request_id = request.match_info["request_id"]
     found = node.events.events(request_id)
     for events in await asyncio.gather(
-        *(ask_events(node, peer, request_id) for peer in peers_of(node))
+        *(
+            fetch_peer_events(node, peer, request_id)
+            for peer in alive_peers(node)
+        )
     ):
         found.extend(events)
     if not found:
@@ -259,22 +266,22 @@
     )
 
 
-def peers_of(node):
+def alive_peers(node):
     """Returns the other members that count as alive."""
     members = node.view.alive_members()
     return [m for m in members if not node.view.is_self(m)]
 
 
-async def ask_events(node, peer, request_id):
+async def fetch_peer_events(node, peer, request_id):
     """Returns what a peer remembers of a request."""
     path = f"/peer/events/{request_id}"
-    body = await ask_peer(node, peer, path)
+    body = await get_from_peer(node, peer, path)
     if body is None:
         return []
     return EXPLANATION_DECODER.decode(body).events
 
 
-async def ask_peer(node, peer, path):
+async def get_from_peer(node, peer, path):
     """Returns the body of a peer's answer, or None."""
     url = f"http://{node.resolve(peer.address)}{path}"
     timeout = aiohttp.ClientTimeout(total=PEER_TIMEOUT_S)
--- a/packages/cicadafold/src/cicadafold/service/operator_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/operator_calls.py
@@ -16,7 +16,7 @@
 
 __all__ = ["apply_configuration", "cell", "drain", "report_burn"]
 
-FOLD_TIMEOUT_S = 3.0
+APPLY_TIMEOUT_S = 3.0
 
 CHANGE_DECODER = msgspec.json.Decoder(messages.ConfigurationChange)
 BURN_DECODER = msgspec.json.Decoder(messages.BurnReport)
@@ -48,12 +48,12 @@
     caller_calls.require_ready(node)
     check_configuration(change.configuration)
     state = node.tail.state
-    if not was_applied(state, change):
-        check_base(state, change)
+    if not is_in_history(state, change):
+        check_base_revision(state, change)
         await append_change(node, change)
     state = node.tail.state
-    if not was_applied(state, change):
-        raise conflict(state)
+    if not is_in_history(state, change):
+        raise revision_conflict_error(state)
     return codec.json_response(state.configuration)
 
 
@@ -89,18 +89,18 @@
         )
 
 
-def was_applied(state, change):
+def is_in_history(state, change):
     """Whether the history holds a change."""
     return any(e.change_id == change.change_id for e in state.history)
 
 
-def check_base(state, change):
+def check_base_revision(state, change):
     """Refuses a change that is based on another revision."""
     if change.base_revision != state.configuration.revision:
-        raise conflict(state)
+        raise revision_conflict_error(state)
 
 
-def conflict(state):
+def revision_conflict_error(state):
     """Builds the error of a change that lost a race."""
     current = state.configuration.revision
     return exception.RevisionConflict(
@@ -119,18 +119,18 @@
     )
     tail = node.tail
     try:
-        async with asyncio.timeout(FOLD_TIMEOUT_S):
+        async with asyncio.timeout(APPLY_TIMEOUT_S):
             offset = await node.appender.append(record)
     except (exception.LinkLost, TimeoutError) as error:
-        raise maybe_applied() from error
-    folded = await tail.wait_until(
-        lambda: tail.state.offset >= offset, timeout_s=FOLD_TIMEOUT_S
+        raise change_unconfirmed_error() from error
+    applied = await tail.wait_until(
+        lambda: tail.state.offset >= offset, timeout_s=APPLY_TIMEOUT_S
     )
-    if not folded:
-        raise maybe_applied()
+    if not applied:
+        raise change_unconfirmed_error()
 
 
-def maybe_applied():
+def change_unconfirmed_error():
     """Builds the error of a change that may yet be in force."""
     return exception.OutcomeUnknown(
         message="The log did not confirm the change.",
@@ -149,16 +149,18 @@
             revision=state.configuration.revision,
             log_offset=state.offset,
             members=[
-                member_row(node, member)
+                describe_member(node, member)
                 for member in state.members.values()
                 if not member.left
             ],
-            racks=[rack_row(node, rack) for rack in node.hosts.racks.values()],
+            racks=[
+                describe_rack(node, rack) for rack in node.hosts.racks.values()
+            ],
         )
     )
 
 
-def member_row(node, member):
+def describe_member(node, member):
     """Returns the row of one member."""
     state = "alive" if node.view.is_alive(member) else "gone"
     if state == "alive" and node.view.is_draining(member):
@@ -172,7 +174,7 @@
     )
 
 
-def rack_row(node, rack):
+def describe_rack(node, rack):
     """Returns the row of one rack."""
     owner = node.tail.state.owners.get(rack.name)
     digest = node.view.digests.get(rack.name)
@@ -199,11 +201,14 @@
 @registry.call("GET", "/v1/reports/burn", registry.Role.OPERATOR)
 async def report_burn(node, request):
     """Reports service-level burn over all reachable entry hosts."""
-    reports = [own_burn(node)]
+    reports = [local_burn_report(node)]
     unreachable = []
-    peers = caller_calls.peers_of(node)
+    peers = caller_calls.alive_peers(node)
     bodies = await asyncio.gather(
-        *(caller_calls.ask_peer(node, peer, "/peer/burn") for peer in peers)
+        *(
+            caller_calls.get_from_peer(node, peer, "/peer/burn")
+            for peer in peers
+        )
     )
     for peer, body in zip(peers, bodies, strict=True):
         if body is None:
@@ -213,6 +218,6 @@
     return codec.json_response(burn.merge_reports(reports, unreachable))
 
 
-def own_burn(node):
+def local_burn_report(node):
     """Returns this member's own burn report."""
     return node.burn.report(node.name, node.tail.state.configuration.kinds)
--- a/packages/cicadafold/src/cicadafold/service/peer_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/peer_calls.py
@@ -37,7 +37,7 @@
 @registry.call("GET", "/peer/burn", registry.Role.PEER)
 async def burn(node, request):
     """Returns this member's own burn report."""
-    return codec.json_response(operator_calls.own_burn(node))
+    return codec.json_response(operator_calls.local_burn_report(node))
 
 
 @registry.call("GET", "/healthz", registry.Role.ANYONE)
