--- a/packages/cicadafold-standins/src/cicadafold_standins/capacity.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/capacity.py
@@ -126,7 +126,7 @@
         per_worker, _, decide_us = await state_costs.measure_owner(
             count, state_costs.DECISIONS
         )
-        looks.append((count, await state_costs.measure_keeper(count)))
+        looks.append((count, await state_costs.measure_rack_claimer(count)))
         kilobytes, list_ms = state_costs.measure_host_list(count)
         lists.append((count, list_ms))
         sizes.append((count, kilobytes))
@@ -141,7 +141,9 @@
         fit("choosing and redirecting, p99 us", "workers", routes),
         fit("placing in a rack, p99 us", "workers", decisions),
         fit("owner's state of idle workers, MB", "workers", memory),
-        fit("one look at all racks by the keeper, ms", "workers", looks),
+        fit(
+            "one pass of the rack claimer over all racks, ms", "workers", looks
+        ),
         fit("taking in an equal host list, ms", "workers", lists),
         fit("host list, KB received", "workers", sizes),
     ]
--- a/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
@@ -7,10 +7,10 @@
 from cicadafold import hosts as host_tables
 from cicadafold.membership import messages as gossip
 from cicadafold.membership import view as membership_view
-from cicadafold.ownership import keeper
 from cicadafold.ownership import rack as rack_owner
+from cicadafold.ownership import rack_claimer
+from cicadafold.ownership import rack_requests
 from cicadafold.ownership import target_link
-from cicadafold.ownership import work as rack_work
 from cicadafold.peerlink import frames
 from cicadafold.placement import lanes
 from cicadafold.placement import routing
@@ -25,7 +25,7 @@
 __all__ = [
     "measure_configuration",
     "measure_host_list",
-    "measure_keeper",
+    "measure_rack_claimer",
     "measure_ledger",
     "measure_owner",
     "measure_routing",
@@ -148,7 +148,7 @@
     )
 
 
-async def measure_keeper(count):
+async def measure_rack_claimer(count):
     """Returns the milliseconds of one look at all racks."""
     table = host_table(make_hosts(count))
     state = control_state.ControlState()
@@ -177,11 +177,11 @@
         view=view,
         tail=types.SimpleNamespace(state=state),
     )
-    made = keeper.Keeper(node=node)
+    made = rack_claimer.RackClaimer(node=node)
     began = time.process_time()
     for _ in range(20):
-        made.follow()
-        await made.claim_orphans()
+        made.sync_owners()
+        await made.claim_unowned_racks()
         await made.hand_over()
     return (time.process_time() - began) / 20 * 1000
 
@@ -226,14 +226,14 @@
     tracemalloc.start()
     works = {}
     for number in range(count):
-        work = rack_work.Work(
+        work = rack_requests.RackRequest(
             request_id=f"request-{number}",
             kind=kind,
             team="t",
             payload="x" * 64,
             deadline_ms=1.0,
         )
-        work.tasks[work.request_id] = rack_work.RackTask(
+        work.tasks[work.request_id] = rack_requests.TargetTask(
             task_id=work.request_id, link=None, size=None, on_end=None
         )
         works[work.request_id] = work
@@ -279,7 +279,7 @@
     queue = lanes.Lanes()
     for number in range(count * 4):
         queue.push(
-            rack_work.Work(
+            rack_requests.RackRequest(
                 request_id=f"q{number}",
                 kind=kind,
                 team=f"team-{number % count}",
--- a/packages/cicadafold-standins/src/cicadafold_standins/verdict.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/verdict.py
@@ -3,7 +3,7 @@
 import collections
 import enum
 
-from cicadafold.ownership import task_names
+from cicadafold.ownership import task_ids
 from cicadafold.platform import messages as platform
 from cicadafold_schema import messages
 import msgspec
@@ -103,7 +103,7 @@
     by_request = collections.defaultdict(lambda: collections.defaultdict(list))
     for run in runs:
         if not run.given_twice:
-            request_id = task_names.request_of(run.task_id)
+            request_id = task_ids.request_id_of(run.task_id)
             by_request[request_id][run.task_id].append(run)
     verdict = Verdict(
         kinds=[],
@@ -212,7 +212,7 @@
         yield Promise.WHOLE_ANSWER, text
     expected = ",".join(
         worker_standin.expected_result(
-            task_names.task_id(record.request_id, index, kind.tasks),
+            task_ids.task_id(record.request_id, index, kind.tasks),
             record.payload,
         )
         for index in range(kind.tasks)
--- a/packages/cicadafold/src/cicadafold/controllog/snapshots.py
+++ b/packages/cicadafold/src/cicadafold/controllog/snapshots.py
@@ -52,7 +52,7 @@
         node = self.node
         if not node.tail.ready or not node.log_is_usable():
             return False
-        members = node.keeper.candidates()
+        members = node.rack_claimer.eligible_members()
         if not members:
             return False
         chosen = max(
--- a/packages/cicadafold/src/cicadafold/daemon/draining.py
+++ b/packages/cicadafold/src/cicadafold/daemon/draining.py
@@ -28,7 +28,7 @@
     """
     LOG.info("The drain has started.")
     node.view.draining = True
-    node.keeper.draining = True
+    node.rack_claimer.draining = True
     loop = asyncio.get_running_loop()
     deadline_s = loop.time() + node.settings["drain.deadline_s"]
     await asyncio.sleep(node.settings["drain.grace_s"])
@@ -44,10 +44,10 @@
     """Whether the process still owns racks or has requests to answer."""
     retiring = any(
         work.reply is None
-        for owner in node.keeper.retiring.values()
-        for work in owner.works.values()
+        for owner in node.rack_claimer.retiring.values()
+        for work in owner.requests.values()
     )
-    return bool(node.keeper.owners) or retiring or node.in_flight > 0
+    return bool(node.rack_claimer.owners) or retiring or node.in_flight > 0
 
 
 async def leave(node):
--- a/packages/cicadafold/src/cicadafold/daemon/node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/node.py
@@ -20,7 +20,7 @@
 from cicadafold.ledger import coordinator
 from cicadafold.membership import gossip
 from cicadafold.membership import view
-from cicadafold.ownership import keeper
+from cicadafold.ownership import rack_claimer
 from cicadafold.ownership import service as rack_service
 from cicadafold.peerlink import client
 from cicadafold.placement import routing
@@ -135,7 +135,7 @@
         self.hosts = host_table.HostTable(
             source=source,
             recorded=lambda: self.tail.state.rack_hosts,
-            is_owner=lambda: bool(self.keeper.owners),
+            is_owner=lambda: bool(self.rack_claimer.owners),
         )
         self.view = view.MembershipView(
             name=self.name,
@@ -145,7 +145,7 @@
         self.routing = routing.Routing(
             hosts=self.hosts, view=self.view, region=self.region
         )
-        self.keeper = keeper.Keeper(node=self)
+        self.rack_claimer = rack_claimer.RackClaimer(node=self)
         self.racks = rack_service.RackService(node=self)
         self.coordinator = coordinator.Coordinator(node=self)
         self.snapshotter = snapshots.Snapshotter(
@@ -183,7 +183,9 @@
             children=[
                 supervision.Child(name="hosts", run=self.hosts.run),
                 supervision.Child(name="gossip", run=self.gossiper.run),
-                supervision.Child(name="keeper", run=self.keeper.run),
+                supervision.Child(
+                    name="rack_claimer", run=self.rack_claimer.run
+                ),
                 supervision.Child(
                     name="adopter", run=self.coordinator.adopter.run
                 ),
@@ -384,12 +386,12 @@
 
     def count_links(self):
         """Returns how many links to workers the owned racks have."""
-        owners = self.keeper.owners.values()
+        owners = self.rack_claimer.owners.values()
         return sum(len(owner.links) for owner in owners)
 
     def own_digests(self):
         """Returns the load digests of the racks that this member owns."""
-        return [owner.digest() for owner in self.keeper.owners.values()]
+        return [owner.digest() for owner in self.rack_claimer.owners.values()]
 
     def headroom_of(self, kind):
         """Returns the slots that a kind leaves free on each worker."""
@@ -475,7 +477,7 @@
 
     def on_superseded(self, owner):
         """Stops owning a rack after a target has seen a newer fence."""
-        self.keeper.retire(owner)
+        self.rack_claimer.retire_owner(owner)
 
     # Recorded requests
 
--- a/packages/cicadafold/src/cicadafold/ledger/adoption.py
+++ b/packages/cicadafold/src/cicadafold/ledger/adoption.py
@@ -101,7 +101,7 @@
 
     def adopt_orphans(self):
         """Appends adopt records for the requests that fall to us."""
-        members = self.node.keeper.candidates()
+        members = self.node.rack_claimer.eligible_members()
         state = self.node.tail.state
         self.index_open(state)
         for request_id in list(self.open_ids):
@@ -113,7 +113,7 @@
                 entry, state
             ):
                 continue
-            if self.falls_to_us(entry, members):
+            if self.is_preferred_coordinator(entry, members):
                 self.adopting.add(entry.request_id)
                 asyncio.create_task(self.adopt(entry))
 
@@ -135,7 +135,7 @@
             return False
         return self.node.view.is_alive(member)
 
-    def falls_to_us(self, entry, members):
+    def is_preferred_coordinator(self, entry, members):
         """Whether this member should adopt a request."""
         near = [m for m in members if m.region == entry.region] or members
         if not near:
--- a/packages/cicadafold/src/cicadafold/ledger/tests/test_coordinator.py
+++ b/packages/cicadafold/src/cicadafold/ledger/tests/test_coordinator.py
@@ -5,7 +5,7 @@
 
 from cicadafold.ledger import coordinator
 from cicadafold.ledger import placing
-from cicadafold.ownership import task_names
+from cicadafold.ownership import task_ids
 from cicadafold_schema import messages
 from cicadafold_standins import memory
 
@@ -53,6 +53,6 @@
 def test_task_names_give_the_request_back():
     for count in (1, 4):
         for index in range(count):
-            name = task_names.task_id("q", index, count)
-            assert task_names.request_of(name) == "q"
-            assert task_names.index_of(name) == index
+            name = task_ids.task_id("q", index, count)
+            assert task_ids.request_id_of(name) == "q"
+            assert task_ids.index_of(name) == index
--- a/packages/cicadafold/src/cicadafold/ownership/estimates.py
+++ b/packages/cicadafold/src/cicadafold/ownership/estimates.py
@@ -6,8 +6,8 @@
 
 __all__ = [
     "expected_wait_ms",
-    "is_without_workers",
-    "refuse_work",
+    "lacks_workers",
+    "refuse_late",
     "would_be_late",
 ]
 
@@ -17,11 +17,11 @@
 Status = frames.ReplyStatus
 
 
-def refuse_work(owner, work, wait_ms):
+def refuse_late(owner, request, wait_ms):
     """Refuses work that would miss its deadline."""
-    owner.works.pop(work.request_id, None)
-    status = Status.UNKNOWN if work.may_have_run else Status.REFUSED
-    work.finish(
+    owner.requests.pop(request.request_id, None)
+    status = Status.UNKNOWN if request.may_have_run else Status.REFUSED
+    request.finish(
         status,
         code=messages.ErrorCode.overloaded.value,
         text=f"The wait at {owner.name} is longer than the deadline.",
@@ -29,14 +29,14 @@
     )
 
 
-def expected_wait_ms(owner, work):
+def expected_wait_ms(owner, request):
     """Estimates how long work that arrives now would wait."""
     slots = sum(
         link.capacity.slots
         for link in owner.links.values()
-        if link.available()
+        if link.is_available()
     )
-    lane = work.kind.lane
+    lane = request.kind.lane
     if lane is messages.Lane.urgent:
         ahead = owner.lanes.urgent_count
     else:
@@ -46,15 +46,15 @@
     return ahead * owner.mean_run_ms[lane] / slots
 
 
-def is_without_workers(owner):
+def lacks_workers(owner):
     """Whether no worker has taken work for longer than a takeover takes."""
-    if clock.monotonic_ms() - owner.began_ms < TAKEOVER_MS:
+    if clock.monotonic_ms() - owner.started_ms < TAKEOVER_MS:
         return False
-    return not any(link.available() for link in owner.links.values())
+    return not any(link.is_available() for link in owner.links.values())
 
 
-def would_be_late(owner, work, wait_ms):
+def would_be_late(owner, request, wait_ms):
     """Whether work that waits would end after its deadline."""
-    run_ms = owner.kind_run_ms[work.kind.name]
+    run_ms = owner.kind_run_ms[request.kind.name]
     end_ms = clock.monotonic_ms() + wait_ms + run_ms
-    return end_ms > work.deadline_ms
+    return end_ms > request.deadline_ms
--- a/packages/cicadafold/src/cicadafold/ownership/rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack.py
@@ -12,12 +12,12 @@
 from cicadafold.controllog import fold
 from cicadafold.membership import messages as gossip
 from cicadafold.ownership import admission
-from cicadafold.ownership import concluding
-from cicadafold.ownership import recovery
+from cicadafold.ownership import completion
+from cicadafold.ownership import rack_requests
+from cicadafold.ownership import recovered_tasks
 from cicadafold.ownership import starting
 from cicadafold.ownership import target_link
-from cicadafold.ownership import task_names
-from cicadafold.ownership import work as rack_work
+from cicadafold.ownership import task_ids
 from cicadafold.peerlink import frames
 from cicadafold.placement import lanes
 from cicadafold.platform import messages as platform
@@ -34,7 +34,7 @@
 LOG = logs.get_logger("rack")
 
 Status = frames.ReplyStatus
-State = rack_work.WorkState
+State = rack_requests.RequestState
 
 
 class RackOwner:
@@ -51,19 +51,19 @@
         self.name = name
         self.term = term
         self.node = node
-        self.works = {}
+        self.requests = {}
         self.redirected = {}
-        self.doubtful = {}
+        self.unresolved = {}
         self.lanes = lanes.Lanes()
         self.links = {}
         self.link_tasks = {}
-        self.found = recovery.FoundTasks(rack=self)
+        self.recovered = recovered_tasks.RecoveredTasks(rack=self)
         self.retired = False
-        self.began_ms = clock.monotonic_ms()
+        self.started_ms = clock.monotonic_ms()
         self.mean_run_ms = collections.defaultdict(float)
         self.kind_run_ms = collections.defaultdict(float)
         self.held_cores = collections.Counter()
-        self.expiring = collections.deque()
+        self.expiries = collections.deque()
         self.digest_serial = 0
         self.last_digest = None
         self.digest_ms = 0.0
@@ -84,7 +84,9 @@
             link.leaving = leaving
             if host.name in recorded and not link.recorded:
                 link.recorded = True
-                self.node.call_soon(functools.partial(starting.pump, self))
+                self.node.call_soon(
+                    functools.partial(starting.dispatch_queued, self)
+                )
 
     def add_link(self, host):
         """Starts the task that looks after a worker."""
@@ -107,26 +109,28 @@
 
     def on_link_ready(self, link):
         """Looks at held and waiting work after a worker is ready."""
-        self.release_doubtful()
-        starting.pump(self)
+        self.resolve_requests()
+        starting.dispatch_queued(self)
 
     def on_inventory(self, link, report):
         """Takes a task that a worker was found to hold."""
-        self.found.add(link, report)
+        self.recovered.add(link, report)
 
     def on_running(self, task):
         """Answers for a service once its target reports it running."""
-        work = self.works.get(task_names.request_of(task.task_id))
-        if work is None or work.kind.shape is not messages.Shape.service:
+        request = self.requests.get(task_ids.request_id_of(task.task_id))
+        if request is None or request.kind.shape is not messages.Shape.service:
             return
-        if work.responders:
-            if work.timer is not None:
-                work.timer.cancel()
-            work.respond(Status.RUNNING, started=True, worker=task.link.name)
+        if request.responders:
+            if request.timer is not None:
+                request.timer.cancel()
+            request.respond(
+                Status.RUNNING, started=True, worker=task.link.name
+            )
 
     def on_task_end(self, task, end):
         """Takes the end of a task."""
-        concluding.on_task_end(self, task, end)
+        completion.on_task_end(self, task, end)
 
     def on_fenced(self, link):
         """Retires: a newer owner has raised the fence."""
@@ -143,8 +147,8 @@
         if self.retired:
             send(frames.Reply(serial=frame.serial, status=Status.MOVED))
             return
-        known = self.works.get(frame.request_id)
-        if known is not None and not known.may_be_tried_again():
+        known = self.requests.get(frame.request_id)
+        if known is not None and not known.is_retryable():
             self.attach(known, responder)
             return
         rack = self.redirected.get(frame.request_id)
@@ -159,120 +163,129 @@
                 "The kind is not in the configuration here.",
             )
             return
-        work = self.new_work(frame, kind, responder)
+        request = self.new_request(frame, kind, responder)
         if known is not None:
-            self.try_again(work, known)
-        elif not frame.first or self.found.knows(work.request_id):
-            self.doubtful[work.request_id] = work
-            self.release_doubtful()
+            self.retry(request, known)
+        elif not frame.first or self.recovered.has_tasks(request.request_id):
+            self.unresolved[request.request_id] = request
+            self.resolve_requests()
         else:
-            admission.admit(self, work, hops=frame.hops)
+            admission.admit(self, request, hops=frame.hops)
             own_us = (time.perf_counter() - began) * MICROSECONDS
-            work.decision_us = int(frame.spent_us + own_us)
+            request.decision_us = int(frame.spent_us + own_us)
 
-    def new_work(self, frame, kind, responder):
+    def new_request(self, frame, kind, responder):
         """Returns the work of a dispatch, held until it is settled."""
-        work = rack_work.Work(
+        request = rack_requests.RackRequest(
             request_id=frame.request_id,
             kind=kind,
             team=frame.team,
             payload=frame.payload,
             deadline_ms=clock.monotonic_ms() + frame.budget_ms,
         )
-        work.attempt = frame.attempt
-        work.born_ms -= frame.age_ms
-        work.responders.append(responder)
-        self.works[work.request_id] = work
-        admission.set_deadline(self, work)
-        return work
-
-    def try_again(self, work, earlier):
+        request.attempt = frame.attempt
+        request.earliest_start_ms -= frame.age_ms
+        request.responders.append(responder)
+        self.requests[request.request_id] = request
+        admission.set_deadline(self, request)
+        return request
+
+    def retry(self, request, earlier):
         """Takes up idempotent work whose last outcome was unknown.
 
         Args:
             work: The work of the new dispatch.
             earlier: The work that was answered as unknown.
         """
-        work.may_have_run = earlier.may_have_run
-        work.avoided = earlier.avoided
-        if work.may_have_run:
-            asyncio.create_task(concluding.repeat(self, work))
+        request.may_have_run = earlier.may_have_run
+        request.failed_workers = earlier.failed_workers
+        if request.may_have_run:
+            asyncio.create_task(
+                completion.requeue_when_confirmed(self, request)
+            )
             return
-        self.doubtful[work.request_id] = work
-        self.release_doubtful()
+        self.unresolved[request.request_id] = request
+        self.resolve_requests()
 
     def locate(self, frame, send):
         """Tells whether this rack knows a request."""
         rack = self.redirected.get(frame.request_id)
-        known = frame.request_id in self.works
+        known = frame.request_id in self.requests
         if self.retired:
             status = Status.MOVED
         elif rack is not None:
             status = Status.REDIRECT
-        elif known or self.found.knows(frame.request_id):
+        elif known or self.recovered.has_tasks(frame.request_id):
             status = Status.KNOWN
-        elif not self.is_sure():
+        elif not self.all_inventoried():
             status = Status.MOVED
         else:
-            born_ms = clock.monotonic_ms() - frame.age_ms
-            known = frame.idempotent or self.knows_all_since(born_ms)
+            earliest_start_ms = clock.monotonic_ms() - frame.age_ms
+            known = frame.idempotent or self.no_restart_since(
+                earliest_start_ms
+            )
             status = Status.ABSENT if known else Status.UNKNOWN
         send(frames.Reply(serial=frame.serial, status=status, rack=rack or ""))
 
-    def attach(self, work, responder):
+    def attach(self, request, responder):
         """Adds a sender to a request that is already known."""
-        work.responders.append(responder)
-        if work.reply is not None:
-            status, fields = work.reply
-            work.respond(status, **fields)
-        elif work.kind.shape is messages.Shape.service and work.tasks:
-            for task in work.tasks.values():
-                task.ambiguous = True
-                task.link.kicked.set()
-
-    def is_sure(self):
+        request.responders.append(responder)
+        if request.reply is not None:
+            status, fields = request.reply
+            request.respond(status, **fields)
+        elif request.kind.shape is messages.Shape.service and request.tasks:
+            for task in request.tasks.values():
+                task.unconfirmed = True
+                task.link.renewal_wanted.set()
+
+    def all_inventoried(self):
         """Whether every worker was inventoried under this term."""
         return all(link.inventoried for link in self.links.values())
 
-    def release_doubtful(self):
+    def resolve_requests(self):
         """Settles doubtful work by what the workers say.
 
         A task that was found settles it at once; an absence only once
         every worker was inventoried.
         """
-        if not self.is_sure():
-            for work in list(self.doubtful.values()):
-                if work.reply is None and self.found.claim(work):
-                    del self.doubtful[work.request_id]
+        if not self.all_inventoried():
+            for request in list(self.unresolved.values()):
+                if request.reply is None and self.recovered.assign_to(request):
+                    del self.unresolved[request.request_id]
             return
-        doubtful, self.doubtful = self.doubtful, {}
-        for work in doubtful.values():
-            if work.state is State.HELD and work.reply is None:
-                self.settle_doubt(work)
+        unresolved, self.unresolved = self.unresolved, {}
+        for request in unresolved.values():
+            if request.state is State.HELD and request.reply is None:
+                self.resolve_request(request)
 
-    def settle_doubt(self, work):
+    def resolve_request(self, request):
         """Settles work that an earlier dispatch may have started."""
-        if self.found.claim(work):
+        if self.recovered.assign_to(request):
             return
-        if work.kind.idempotent or self.knows_all_since(work.born_ms):
-            admission.admit(self, work, hops=1)
+        if request.kind.idempotent or self.no_restart_since(
+            request.earliest_start_ms
+        ):
+            admission.admit(self, request, hops=1)
             return
-        work.finish(
+        request.finish(
             Status.UNKNOWN,
             started=True,
             text="A worker that may have run the request was restarted.",
         )
-        self.expire_later(work)
+        self.schedule_expiry(request)
 
-    def knows_all_since(self, born_ms):
+    def no_restart_since(self, earliest_start_ms):
         """Whether no worker has been restarted since a time."""
-        return all(link.up_since_ms <= born_ms for link in self.links.values())
+        return all(
+            link.up_since_ms <= earliest_start_ms
+            for link in self.links.values()
+        )
 
     def cancel(self, frame, send):
         """Cancels a request; the reply tells whether it had started."""
-        work = self.works.get(frame.request_id)
+        request = self.requests.get(frame.request_id)
         responder = (frame.serial, send)
-        if work is None:
+        if request is None:
             rack = self.redirected.get(frame.request_id)
             if rack is not None:
                 redirect(responder, rack)
@@ -283,20 +296,20 @@
                 "The request is not held here.",
             )
             return
-        work.responders.append(responder)
-        if work.reply is not None:
-            status, fields = work.reply
-            work.respond(status, **fields)
+        request.responders.append(responder)
+        if request.reply is not None:
+            status, fields = request.reply
+            request.respond(status, **fields)
             return
-        work.cancelled = True
-        if work.state is State.QUEUED:
-            self.lanes.remove(work)
-        if work.tasks:
-            for task in work.tasks.values():
+        request.cancelled = True
+        if request.state is State.QUEUED:
+            self.lanes.remove(request)
+        if request.tasks:
+            for task in request.tasks.values():
                 task.link.request_stop(task)
             return
-        work.finish(Status.CANCELLED, started=work.may_have_run)
-        self.expire_later(work)
+        request.finish(Status.CANCELLED, started=request.may_have_run)
+        self.schedule_expiry(request)
 
     # Upkeep.
 
@@ -305,40 +318,40 @@
         while not self.retired:
             await self.record_hosts()
             await asyncio.sleep(MAINTENANCE_PERIOD_S)
-            self.forget_expired()
-            self.release_doubtful()
-            starting.pump(self)
+            self.remove_expired()
+            self.resolve_requests()
+            starting.dispatch_queued(self)
 
-    def expire_later(self, work):
+    def schedule_expiry(self, request):
         """Keeps an answer for a while, for senders that ask again."""
         due_ms = clock.monotonic_ms() + RETAIN_ANSWERS_S * clock.MILLISECONDS
-        self.expiring.append((due_ms, work))
+        self.expiries.append((due_ms, request))
 
-    def forget_expired(self):
+    def remove_expired(self):
         """Forgets answers that were kept for long enough."""
         now_ms = clock.monotonic_ms()
-        if now_ms - self.began_ms > fold.DEDUPLICATION_WINDOW_MS:
-            self.found.forget_closed()
-        while self.expiring and self.expiring[0][0] <= now_ms:
-            _, work = self.expiring.popleft()
-            if work.attempt and self.node.is_open(work.request_id):
-                self.expire_later(work)
+        if now_ms - self.started_ms > fold.DEDUPLICATION_WINDOW_MS:
+            self.recovered.discard_closed()
+        while self.expiries and self.expiries[0][0] <= now_ms:
+            _, request = self.expiries.popleft()
+            if request.attempt and self.node.is_open(request.request_id):
+                self.schedule_expiry(request)
                 continue
-            self.forget(work)
+            self.remove(request)
 
-    def forget(self, work):
+    def remove(self, request):
         """Forgets an answer and frees the results on the targets."""
-        self.redirected.pop(work.request_id, None)
-        if self.works.get(work.request_id) is not work:
+        self.redirected.pop(request.request_id, None)
+        if self.requests.get(request.request_id) is not request:
             return
-        del self.works[work.request_id]
-        for task, _ in work.ends.values():
+        del self.requests[request.request_id]
+        for task, _ in request.ends.values():
             if task.link is not None:
-                task.link.acknowledged.append(task.task_id)
+                task.link.to_acknowledge.append(task.task_id)
 
     def digest(self):
         """Returns the figures that other members route by."""
-        links = [link for link in self.links.values() if link.available()]
+        links = [link for link in self.links.values() if link.is_available()]
         headroom = self.node.headroom_slots()
         free = sum(max(0, link.capacity.free_slots) for link in links)
         spare = sum(
@@ -370,21 +383,21 @@
         if self.retired:
             return
         self.retired = True
-        for work in list(self.works.values()):
-            if work.state in (State.QUEUED, State.HELD):
-                held = work.state is State.HELD
-                started = held or work.may_have_run
-                work.finish(Status.MOVED, started=started)
+        for request in list(self.requests.values()):
+            if request.state in (State.QUEUED, State.HELD):
+                held = request.state is State.HELD
+                started = held or request.may_have_run
+                request.finish(Status.MOVED, started=started)
         for task in self.link_tasks.values():
             task.cancel()
         loop = asyncio.get_running_loop()
-        loop.call_later(RETIRE_GRACE_S, self.release_senders)
+        loop.call_later(RETIRE_GRACE_S, self.answer_waiting_senders)
 
-    def release_senders(self):
+    def answer_waiting_senders(self):
         """Sends those that still wait to the next owner."""
-        for work in self.works.values():
-            if work.reply is None:
-                work.finish(Status.MOVED, started=True)
+        for request in self.requests.values():
+            if request.reply is None:
+                request.finish(Status.MOVED, started=True)
 
 
 def redirect(responder, rack):
--- a/packages/cicadafold/src/cicadafold/ownership/keeper.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack_claimer.py
@@ -12,17 +12,17 @@
 from cicadafold.ownership import rack as rack_owner
 from cicadafold.telemetry import logs
 
-__all__ = ["Keeper"]
+__all__ = ["RackClaimer"]
 
-PERIOD_S = 0.2
-SETTLE_S = 0.8
-HAND_OVER_AFTER_S = 3.0
-FOREIGN_REGION_PATIENCE_S = 10.0
+CHECK_PERIOD_S = 0.2
+FIRST_CLAIM_DELAY_S = 0.8
+MIN_OWNED_S = 3.0
+FOREIGN_REGION_DELAY_S = 10.0
 
 LOG = logs.get_logger("ownership")
 
 
-class Keeper:
+class RackClaimer:
     """Keeps the racks of this process in step with the folded state.
 
     Attributes:
@@ -33,9 +33,9 @@
         self.node = node
         self.owners = {}
         self.retiring = {}
-        self.tasks = {}
+        self.owner_tasks = {}
         self.ready_since_s = None
-        self.orphaned_since_s = {}
+        self.unowned_since_s = {}
         self.owned_since_s = {}
         self.draining = False
 
@@ -45,21 +45,21 @@
         while True:
             if self.node.tail.ready:
                 self.ready_since_s = self.ready_since_s or loop.time()
-                self.follow()
-                if loop.time() - self.ready_since_s >= SETTLE_S:
-                    await self.claim_orphans()
+                self.sync_owners()
+                if loop.time() - self.ready_since_s >= FIRST_CLAIM_DELAY_S:
+                    await self.claim_unowned_racks()
                     await self.hand_over()
-            await self.wait()
+            await self.wait_for_change()
 
-    async def wait(self):
+    async def wait_for_change(self):
         """Waits for a change of the state or for the period to pass."""
         try:
-            async with asyncio.timeout(PERIOD_S):
+            async with asyncio.timeout(CHECK_PERIOD_S):
                 await self.node.tail.changed.wait()
         except TimeoutError:
             pass
 
-    def is_mine(self, owner):
+    def is_own(self, owner):
         """Whether the folded state says that this process owns a rack."""
         return (
             owner is not None
@@ -67,21 +67,21 @@
             and owner.incarnation == self.node.incarnation
         )
 
-    def follow(self):
+    def sync_owners(self):
         """Starts and retires rack owners as the state says."""
         state = self.node.tail.state
         for rack, owner in state.owners.items():
             running = self.owners.get(rack)
             current = running is not None and running.term == owner.term
             if running is not None and not current:
-                self.retire(running)
-            if self.is_mine(owner) and not current:
-                self.start(rack, owner.term)
+                self.retire_owner(running)
+            if self.is_own(owner) and not current:
+                self.start_owner(rack, owner.term)
         hosts = self.node.hosts
         for rack, running in self.owners.items():
             running.update_hosts(hosts.hosts_in_rack(rack))
 
-    def start(self, rack, term):
+    def start_owner(self, rack, term):
         """Starts to own a rack."""
         hosts = self.node.hosts.hosts_in_rack(rack)
         LOG.info("This member owns %s from term %d.", rack, term)
@@ -90,18 +90,18 @@
         )
         self.owners[rack] = owner
         self.owned_since_s[rack] = asyncio.get_running_loop().time()
-        self.tasks[rack] = asyncio.create_task(owner.run())
+        self.owner_tasks[rack] = asyncio.create_task(owner.run())
 
-    def retire(self, running):
+    def retire_owner(self, running):
         """Stops owning a rack."""
         if self.owners.get(running.name) is running:
             LOG.info("This member no longer owns %s.", running.name)
             del self.owners[running.name]
             self.retiring[running.name] = running
-            self.tasks.pop(running.name).cancel()
+            self.owner_tasks.pop(running.name).cancel()
         running.retire()
 
-    def candidates(self):
+    def eligible_members(self):
         """Returns the members that may own racks."""
         view = self.node.view
         return [m for m in view.alive_members() if not view.is_draining(m)]
@@ -111,28 +111,28 @@
         state = self.node.tail.state
         return collections.Counter(o.member for o in state.owners.values())
 
-    async def claim_orphans(self):
+    async def claim_unowned_racks(self):
         """Claims the racks whose owner is gone and which fall to us."""
         state = self.node.tail.state
-        members = self.candidates()
+        members = self.eligible_members()
         claims = []
         for rack in self.node.hosts.racks.values():
             owner = state.owners.get(rack.name)
             if owner is not None and self.node.view.owner_is_alive(owner):
-                self.orphaned_since_s.pop(rack.name, None)
+                self.unowned_since_s.pop(rack.name, None)
                 continue
-            if self.falls_to_us(rack, members):
+            if self.is_preferred_owner(rack, members):
                 claims.append(self.claim(rack, self.node.own_member()))
         await asyncio.gather(*claims)
 
-    def falls_to_us(self, rack, members):
+    def is_preferred_owner(self, rack, members):
         """Whether this member should claim a rack without an owner."""
         now_s = asyncio.get_running_loop().time()
-        since_s = self.orphaned_since_s.setdefault(rack.name, now_s)
+        since_s = self.unowned_since_s.setdefault(rack.name, now_s)
         regions = {member.region for member in members}
         region = rack.region
         if region not in regions:
-            if now_s - since_s < FOREIGN_REGION_PATIENCE_S:
+            if now_s - since_s < FOREIGN_REGION_DELAY_S:
                 return False
             region = self.node.region
         chosen = assignment.preferred_owner(
@@ -159,11 +159,11 @@
             if not await self.node.reaches_any_worker(rack.name):
                 return
         if await self.node.append_and_apply(record):
-            self.follow()
+            self.sync_owners()
 
     async def hand_over(self):
         """Gives racks to members that should rather own them."""
-        members = self.candidates()
+        members = self.eligible_members()
         handed = []
         for name in list(self.owners):
             successor = self.successor(name, members)
@@ -185,7 +185,7 @@
         others = [m for m in members if not self.node.view.is_self(m)]
         if not self.draining:
             now_s = asyncio.get_running_loop().time()
-            if now_s - self.owned_since_s[name] < HAND_OVER_AFTER_S:
+            if now_s - self.owned_since_s[name] < MIN_OWNED_S:
                 return None
             if own.failure_domain == rack.failure_domain:
                 return None
--- a/packages/cicadafold/src/cicadafold/ownership/work.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack_requests.py
@@ -5,10 +5,10 @@
 from cicadafold import clock
 from cicadafold.peerlink import frames
 
-__all__ = ["EndReason", "RackTask", "TaskEnd", "Work", "WorkState"]
+__all__ = ["EndReason", "TargetTask", "TaskEnd", "RackRequest", "RequestState"]
 
 
-class WorkState(enum.Enum):
+class RequestState(enum.Enum):
     """State of a request at the owner of its rack."""
 
     HELD = "held"
@@ -46,7 +46,7 @@
         self.fenced = fenced
 
 
-class RackTask:
+class TargetTask:
     """A task on a target, from before its start is sent to its end."""
 
     def __init__(self, *, task_id, link, size, on_end):
@@ -59,9 +59,9 @@
         self.start_by_ms = 0
         self.lease_until_ms = 0
         self.lease_ms = 0
-        self.ambiguous = False
+        self.unconfirmed = False
         self.ended = False
-        self.call = None
+        self.start_call = None
 
     def end(self, end):
         """Ends the task once and tells whoever waits for it."""
@@ -69,12 +69,12 @@
             return
         self.ended = True
         self.link.release(self)
-        if self.call is not None:
-            self.call.cancel()
+        if self.start_call is not None:
+            self.start_call.cancel()
         self.on_end(self, end)
 
 
-class Work:
+class RackRequest:
     """A request at the owner of its rack.
 
     Attributes:
@@ -94,22 +94,22 @@
         self.deadline_ms = deadline_ms
         self.attempt = 0
         self.arrived_ms = clock.monotonic_ms()
-        self.state = WorkState.HELD
+        self.state = RequestState.HELD
         self.queued = False
         self.tasks = {}
         self.ends = {}
         self.responders = []
         self.reply = None
         self.failures = 0
-        self.avoided = set()
-        self.born_ms = self.arrived_ms
+        self.failed_workers = set()
+        self.earliest_start_ms = self.arrived_ms
         self.may_have_run = False
         self.cancelled = False
         self.timer = None
         self.decision_us = 0
         self.waited_us = 0
 
-    def may_be_tried_again(self):
+    def is_retryable(self):
         """Whether a new dispatch may find out more than the last one.
 
         An unknown outcome of idempotent work is not final: a worker that
@@ -135,7 +135,7 @@
 
     def finish(self, status, **fields):
         """Sets the final reply and answers every sender."""
-        self.state = WorkState.ENDED
+        self.state = RequestState.ENDED
         self.reply = (status, fields)
         if self.timer is not None:
             self.timer.cancel()
--- a/packages/cicadafold/src/cicadafold/ownership/service.py
+++ b/packages/cicadafold/src/cicadafold/ownership/service.py
@@ -9,7 +9,7 @@
 
 __all__ = ["RackService"]
 
-FOLD_WAIT_S = 2.0
+APPLY_TIMEOUT_S = 2.0
 
 Status = frames.ReplyStatus
 
@@ -26,7 +26,7 @@
 
     def submit(self, frame, send):
         """Hands a dispatch to the owner of its rack."""
-        owner = self.node.keeper.owners.get(frame.rack)
+        owner = self.node.rack_claimer.owners.get(frame.rack)
         if owner is None:
             send(frames.Reply(serial=frame.serial, status=Status.MOVED))
         else:
@@ -37,24 +37,24 @@
 def handle_dispatch(service, frame, send):
     """Checks the coordinator of a recorded request and hands it on."""
     if frame.attempt:
-        when_folded(service, frame, send, submit_recorded)
+        when_applied(service, frame, send, submit_recorded)
     else:
         service.submit(frame, send)
 
 
-def when_folded(service, frame, send, function):
+def when_applied(service, frame, send, function):
     """Calls a function once the sender's record is folded here."""
     if service.node.tail.state.offset >= frame.attempt:
         function(service, frame, send)
     else:
-        asyncio.create_task(fold_first(service, frame, send, function))
+        asyncio.create_task(wait_until_applied(service, frame, send, function))
 
 
-async def fold_first(service, frame, send, function):
+async def wait_until_applied(service, frame, send, function):
     """Waits for the record that makes the sender coordinator."""
     tail = service.node.tail
     folded = await tail.wait_until(
-        lambda: tail.state.offset >= frame.attempt, timeout_s=FOLD_WAIT_S
+        lambda: tail.state.offset >= frame.attempt, timeout_s=APPLY_TIMEOUT_S
     )
     if folded:
         function(service, frame, send)
@@ -99,7 +99,7 @@
 @server.handles(frames.CancelFrame)
 def handle_cancel(service, frame, send):
     """Hands a cancellation to the owner of its rack."""
-    owner = service.node.keeper.owners.get(frame.rack)
+    owner = service.node.rack_claimer.owners.get(frame.rack)
     if owner is None:
         send(frames.Reply(serial=frame.serial, status=Status.MOVED))
     else:
@@ -109,12 +109,12 @@
 @server.handles(frames.Locate)
 def handle_locate(service, frame, send):
     """Tells whether a rack of this process knows a request."""
-    when_folded(service, frame, send, locate)
+    when_applied(service, frame, send, locate)
 
 
 def locate(service, frame, send):
     """Asks the owner of the rack, if it is this process still."""
-    owner = service.node.keeper.owners.get(frame.rack)
+    owner = service.node.rack_claimer.owners.get(frame.rack)
     current = service.node.tail.state.owners.get(frame.rack)
     if owner is None or current.term != owner.term:
         send(frames.Reply(serial=frame.serial, status=Status.MOVED))
--- a/packages/cicadafold/src/cicadafold/ownership/target_link.py
+++ b/packages/cicadafold/src/cicadafold/ownership/target_link.py
@@ -11,7 +11,7 @@
 
 from cicadafold import clock
 from cicadafold import exception
-from cicadafold.ownership import work as rack_work
+from cicadafold.ownership import rack_requests
 from cicadafold.placement import capacity as host_capacity
 from cicadafold.platform import messages
 from cicadafold.telemetry import logs
@@ -64,20 +64,20 @@
         self.inventoried = False
         self.up_since_ms = 0.0
         self.recorded = False
-        self.began_ms = clock.monotonic_ms()
+        self.started_ms = clock.monotonic_ms()
         self.leaving = host.state is messages.HostState.LEAVING
         self.capacity = host_capacity.Capacity.of_host(host)
         self.clock = clock.WorkerClock()
         self.epoch = ""
         self.tasks = {}
-        self.acknowledged = []
-        self.contact_ms = 0.0
-        self.kicked = asyncio.Event()
+        self.to_acknowledge = []
+        self.last_reply_ms = 0.0
+        self.renewal_wanted = asyncio.Event()
         self.failed_requests = set()
         self.quarantine_s = 0.0
         self.quarantined_until_ms = 0.0
 
-    def available(self):
+    def is_available(self):
         """Whether the worker may be given work now."""
         if self.state is not LinkState.READY or self.leaving:
             return False
@@ -92,44 +92,44 @@
         """Fences the worker, then keeps its leases, until retired."""
         while self.state is not LinkState.FENCED:
             try:
-                if await self.take_over():
-                    await self.watch()
+                if await self.raise_fence():
+                    await self.renew_leases()
             except Exception:
                 LOG.exception("Looking after %s failed.", self.name)
-                self.note_unreachable()
+                self.mark_unreachable()
             await asyncio.sleep(RETRY_PERIOD_S)
 
-    async def take_over(self):
+    async def raise_fence(self):
         """Raises the fence and reads the inventory."""
         try:
             reply = await self.client.fence(self.term)
         except exception.TargetUnreachable:
-            self.note_unreachable()
-            self.lapse_tasks()
+            self.mark_unreachable()
+            self.end_lapsed_tasks()
             return False
         except exception.TargetRefused:
-            self.note_fenced()
+            self.mark_fenced()
             return False
         if self.state is LinkState.FENCED:
             return False
-        self.note_reply(reply)
+        self.record_reply(reply)
         if self.epoch and self.epoch != reply.epoch:
-            self.lose_tasks()
+            self.end_all_tasks()
         self.epoch = reply.epoch
         up_ms = reply.now_ms - reply.booted_ms
         if not self.inventoried:
             self.up_since_ms = clock.monotonic_ms() - up_ms
-        self.take_inventory(reply.tasks)
+        self.apply_inventory(reply.tasks)
         self.inventoried = True
         self.state = LinkState.READY
         self.rack.on_link_ready(self)
         return True
 
-    def take_inventory(self, reports):
+    def apply_inventory(self, reports):
         """Rebuilds the used capacity from the worker's own report."""
         by_id = {report.task_id: report for report in reports}
         for task in list(self.tasks.values()):
-            self.settle(task, by_id.get(task.task_id))
+            self.apply_report(task, by_id.get(task.task_id))
         self.capacity.reset()
         for task in self.tasks.values():
             self.capacity.reserve(task.size)
@@ -137,7 +137,7 @@
             if report.task_id not in self.tasks:
                 self.rack.on_inventory(self, report)
 
-    def hold(self, report, *, lease_ms, on_end):
+    def track_running(self, report, *, lease_ms, on_end):
         """Takes over a task that the worker was found running.
 
         Args:
@@ -150,7 +150,7 @@
             memory_mb=report.memory_mb,
             accelerators=report.accelerators,
         )
-        task = rack_work.RackTask(
+        task = rack_requests.TargetTask(
             task_id=report.task_id, link=self, size=size, on_end=on_end
         )
         task.renewed_ms = 0.0
@@ -171,7 +171,7 @@
             lease_ms: Milliseconds that a lease lasts.
             on_end: Function that takes the task and its end.
         """
-        task = rack_work.RackTask(
+        task = rack_requests.TargetTask(
             task_id=task_id, link=self, size=size, on_end=on_end
         )
         worker_ms = self.clock.lower_bound_ms()
@@ -191,91 +191,91 @@
             accelerators=size.accelerators,
             payload=payload,
         )
-        task.call = asyncio.create_task(self.perform(task, message))
+        task.start_call = asyncio.create_task(self.send_start(task, message))
         if len(self.tasks) == 1:
-            self.kicked.set()
+            self.renewal_wanted.set()
         return task
 
-    async def perform(self, task, message):
+    async def send_start(self, task, message):
         """Sends a start and waits for the task's end."""
         try:
             reply = await self.client.start(message)
         except exception.TargetRefused as error:
-            task.call = None
-            self.settle_refused(task, error.refusal)
+            task.start_call = None
+            self.apply_refusal(task, error.refusal)
         except exception.TargetUnreachable as error:
-            task.call = None
+            task.start_call = None
             if error.sent:
-                task.ambiguous = True
-                self.kicked.set()
+                task.unconfirmed = True
+                self.renewal_wanted.set()
             else:
-                self.note_unreachable()
-                end_task(task, rack_work.EndReason.NOT_STARTED)
+                self.mark_unreachable()
+                end_task(task, rack_requests.EndReason.NOT_STARTED)
         else:
-            task.call = None
-            self.note_reply(reply)
-            self.settle(task, reply.tasks[0])
+            task.start_call = None
+            self.record_reply(reply)
+            self.apply_report(task, reply.tasks[0])
 
-    def settle_refused(self, task, refusal):
+    def apply_refusal(self, task, refusal):
         """Ends a task whose start was refused."""
         if refusal.code is messages.RefusalCode.KNOWN:
-            task.ambiguous = True
-            self.kicked.set()
+            task.unconfirmed = True
+            self.renewal_wanted.set()
             return
         fenced = refusal.code is messages.RefusalCode.FENCED
         if fenced:
-            self.note_fenced()
+            self.mark_fenced()
         if refusal.code is messages.RefusalCode.LEAVING:
             self.leaving = True
         if refusal.code is messages.RefusalCode.EXPIRED:
             self.clock.update(refusal.now_ms)
         if refusal.code is messages.RefusalCode.WRONG_EPOCH:
-            self.note_unreachable()
-            self.kicked.set()
+            self.mark_unreachable()
+            self.renewal_wanted.set()
         task.end(
-            rack_work.TaskEnd(
-                reason=rack_work.EndReason.NOT_STARTED, fenced=fenced
+            rack_requests.TaskEnd(
+                reason=rack_requests.EndReason.NOT_STARTED, fenced=fenced
             )
         )
 
-    def settle(self, task, report):
+    def apply_report(self, task, report):
         """Ends a task that its worker reports as ended or denies."""
         if report is None:
             denied = self.clock.worker_ms > task.start_by_ms
             if denied:
-                end_task(task, rack_work.EndReason.NOT_STARTED)
+                end_task(task, rack_requests.EndReason.NOT_STARTED)
             return
         if report.state is messages.TaskState.RUNNING:
-            task.ambiguous = False
+            task.unconfirmed = False
             self.rack.on_running(task)
             return
         if report.state is messages.TaskState.LAPSED:
-            end_task(task, rack_work.EndReason.LAPSED)
+            end_task(task, rack_requests.EndReason.LAPSED)
             return
         task.end(
-            rack_work.TaskEnd(
-                reason=rack_work.EndReason.REPORTED, report=report
+            rack_requests.TaskEnd(
+                reason=rack_requests.EndReason.REPORTED, report=report
             )
         )
 
-    async def watch(self):
+    async def renew_leases(self):
         """Renews leases until the worker must be fenced anew."""
         while self.state is LinkState.READY:
-            await self.wait_for_turn()
-            if not self.has_business():
+            await self.wait_until_due()
+            if not self.is_renewal_due():
                 continue
             if not await self.renew():
                 return
 
-    async def wait_for_turn(self):
+    async def wait_until_due(self):
         """Waits for a kick or for the period to pass."""
         period_s = BUSY_PERIOD_S if self.tasks else self.idle_period_s()
         try:
             async with asyncio.timeout(period_s):
-                await self.kicked.wait()
+                await self.renewal_wanted.wait()
         except TimeoutError:
             pass
-        self.kicked.clear()
+        self.renewal_wanted.clear()
 
     def idle_period_s(self):
         """Returns the seconds between heartbeats to an idle worker.
@@ -286,17 +286,17 @@
         share_s = self.rack.node.count_links() / IDLE_HEARTBEATS_PER_S
         return max(IDLE_PERIOD_S, share_s)
 
-    def has_business(self):
+    def is_renewal_due(self):
         """Whether a renewal or a heartbeat is due."""
         now_ms = clock.monotonic_ms()
-        silent_ms = now_ms - self.contact_ms
+        silent_ms = now_ms - self.last_reply_ms
         if silent_ms > self.idle_period_s() * clock.MILLISECONDS * DUE_SHARE:
             return True
         return any(self.needs_renewal(t, now_ms) for t in self.tasks.values())
 
     def needs_renewal(self, task, now_ms):
         """Whether a lease is to be renewed, or a state is in doubt."""
-        if task.ambiguous:
+        if task.unconfirmed:
             return True
         after_ms = max(RENEW_AFTER_MS, task.lease_ms * RENEW_SHARE)
         return now_ms - task.renewed_ms >= after_ms
@@ -309,7 +309,7 @@
             for task in self.tasks.values()
             if self.needs_renewal(task, now_ms)
         ]
-        acknowledged, self.acknowledged = self.acknowledged, []
+        acknowledged, self.to_acknowledge = self.to_acknowledge, []
         lease_ms = max((t.lease_ms for t in asked), default=0)
         until_ms = int(self.clock.lower_bound_ms()) + lease_ms
         request = messages.RenewRequest(
@@ -324,74 +324,74 @@
         try:
             reply = await self.client.renew(request)
         except exception.TargetUnreachable:
-            self.acknowledged.extend(acknowledged)
-            self.note_unreachable()
+            self.to_acknowledge.extend(acknowledged)
+            self.mark_unreachable()
             return False
         except exception.TargetRefused:
-            self.note_fenced()
+            self.mark_fenced()
             return False
         if reply.epoch != self.epoch:
             return False
-        self.note_reply(reply)
+        self.record_reply(reply)
         by_id = {report.task_id: report for report in reply.tasks}
         for task in asked:
             if not task.ended:
-                self.settle(task, by_id.get(task.task_id))
+                self.apply_report(task, by_id.get(task.task_id))
         return True
 
     def request_stop(self, task):
         """Asks the worker to stop a task; its lease lapses otherwise."""
-        task.ambiguous = True
-        asyncio.create_task(self.stop_quietly(task))
+        task.unconfirmed = True
+        asyncio.create_task(self.send_stop(task))
 
-    async def stop_quietly(self, task):
+    async def send_stop(self, task):
         """Stops a task and asks soon what became of it."""
         try:
             await self.client.stop(task.task_id)
         except (exception.TargetUnreachable, exception.TargetRefused):
             LOG.info("%s could not be stopped.", task.task_id)
-        self.kicked.set()
+        self.renewal_wanted.set()
 
-    def lapse_tasks(self):
+    def end_lapsed_tasks(self):
         """Ends the tasks whose leases have surely lapsed."""
         if self.clock.updated_ms is None:
             return
         worker_ms = self.clock.lower_bound_ms()
         for task in list(self.tasks.values()):
             if worker_ms > task.lease_until_ms + LAPSE_MARGIN_MS:
-                end_task(task, rack_work.EndReason.LAPSED)
+                end_task(task, rack_requests.EndReason.LAPSED)
 
-    def lose_tasks(self):
+    def end_all_tasks(self):
         """Ends the tasks of a worker that has been restarted."""
         LOG.warning("%s was restarted. Its tasks are lost.", self.name)
         for task in list(self.tasks.values()):
-            end_task(task, rack_work.EndReason.LAPSED)
+            end_task(task, rack_requests.EndReason.LAPSED)
 
     def release(self, task):
         """Gives the capacity of an ended task back."""
         if self.tasks.pop(task.task_id, None) is not None:
             self.capacity.release(task.size)
 
-    def note_reply(self, reply):
+    def record_reply(self, reply):
         """Notes the clock and the contact that an answer proves."""
         self.clock.update(reply.now_ms)
-        self.contact_ms = clock.monotonic_ms()
+        self.last_reply_ms = clock.monotonic_ms()
 
-    def note_unreachable(self):
+    def mark_unreachable(self):
         """Stops giving work until the worker is fenced again."""
         if self.state is LinkState.READY:
             LOG.warning("%s does not answer.", self.name)
         if self.state is not LinkState.FENCED:
             self.state = LinkState.UNREACHABLE
-        self.kicked.set()
+        self.renewal_wanted.set()
 
-    def note_fenced(self):
+    def mark_fenced(self):
         """Stops for good: a newer owner has raised the fence."""
         if self.state is not LinkState.FENCED:
             self.state = LinkState.FENCED
             self.rack.on_fenced(self)
 
-    def note_result(self, request_id, *, failed):
+    def record_result(self, request_id, *, failed):
         """Learns from a result whether the worker can be trusted."""
         if not failed:
             self.failed_requests.clear()
@@ -416,4 +416,4 @@
 
 def end_task(task, reason):
     """Ends a task without a report."""
-    task.end(rack_work.TaskEnd(reason=reason))
+    task.end(rack_requests.TaskEnd(reason=reason))
--- a/packages/cicadafold/src/cicadafold/ownership/task_names.py
+++ b/packages/cicadafold/src/cicadafold/ownership/task_ids.py
@@ -1,6 +1,6 @@
 """Names of the tasks of a request."""
 
-__all__ = ["index_of", "request_of", "task_id"]
+__all__ = ["index_of", "request_id_of", "task_id"]
 
 INDEX_SEPARATOR = "~"
 
@@ -19,7 +19,7 @@
     return f"{request_id}{INDEX_SEPARATOR}{index}"
 
 
-def request_of(task_id):
+def request_id_of(task_id):
     """Returns the request of a task."""
     return task_id.partition(INDEX_SEPARATOR)[0]
 
--- a/packages/cicadafold/src/cicadafold/ownership/tests/test_keeper.py
+++ b/packages/cicadafold/src/cicadafold/ownership/tests/test_rack_claimer.py
@@ -9,7 +9,7 @@
 from cicadafold import hosts as host_tables
 from cicadafold.membership import view
 from cicadafold.ownership import assignment
-from cicadafold.ownership import keeper
+from cicadafold.ownership import rack_claimer
 from cicadafold_standins import memory
 
 
@@ -40,7 +40,7 @@
         tail=types.SimpleNamespace(state=state),
         own_member=lambda: state.members["m0"],
     )
-    return keeper.Keeper(node=node)
+    return rack_claimer.RackClaimer(node=node)
 
 
 def successor(made, owned_for_s):
@@ -49,7 +49,7 @@
     async def go():
         now_s = asyncio.get_running_loop().time()
         made.owned_since_s["rack"] = now_s - owned_for_s
-        found = made.successor("rack", made.candidates())
+        found = made.successor("rack", made.eligible_members())
         return found.name if found else None
 
     return asyncio.run(go())
@@ -57,7 +57,7 @@
 
 def test_rack_moves_to_a_member_of_its_failure_domain():
     made = make_keeper(["d1", "d2", "d3"])
-    assert successor(made, keeper.HAND_OVER_AFTER_S + 1) == "m1"
+    assert successor(made, rack_claimer.MIN_OWNED_S + 1) == "m1"
 
 
 def test_rack_is_not_handed_back_at_once():
--- a/packages/cicadafold/src/cicadafold/placement/tests/test_lanes.py
+++ b/packages/cicadafold/src/cicadafold/placement/tests/test_lanes.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cicadafold.ownership import work as rack_work
+from cicadafold.ownership import rack_requests
 from cicadafold.placement import lanes
 from cicadafold_schema import messages
 
@@ -18,7 +18,7 @@
         idempotent=True,
         durable=False,
     )
-    return rack_work.Work(
+    return rack_requests.RackRequest(
         request_id=name,
         kind=kind,
         team=team,
--- a/packages/cicadafold/src/cicadafold/service/peer_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/peer_calls.py
@@ -56,7 +56,7 @@
     gauges = {
         "log_offset": node.tail.state.offset,
         "configuration_revision": node.tail.state.configuration.revision,
-        "racks_owned": len(node.keeper.owners),
+        "racks_owned": len(node.rack_claimer.owners),
         "members_alive": len(node.view.alive_members()),
         "log_reachable": int(node.log_is_usable()),
         "requests_in_flight": node.in_flight,
