--- a/packages/cicadafold/src/cicadafold/dispatch/placing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/placing.py
@@ -236,7 +236,7 @@
         return ranked
 
     def can_start(self, step, tasks, now_ms):
-        """Whether a step may start: a gang needs all its tasks waiting."""
+        """Whether a step may start; a gang only whole and after its pause."""
         if not step.spec.gang:
             return True
         return (
@@ -323,7 +323,7 @@
         return True
 
     def demand(self, step, tasks=None, allowed=None, avoid=()):
-        """Returns the demand of some or (``tasks`` is None) all tasks."""
+        """Returns the demand for a number of tasks of a step, or for all."""
         spec = step.spec
         return views.Demand(
             tasks=spec.tasks if tasks is None else tasks,
