--- a/packages/cicadafold/src/cicadafold/dispatch/job_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/job_table.py
@@ -72,7 +72,7 @@
         )
         job.rule = self.rules.get(spec.queue, spec.rule)
         job.inherited = inherited
-        job.objective = self.objective(job)
+        job.objective_ms = self.objective(job)
         self.jobs[spec.id] = job
         self.active[spec.id] = job
         return job
@@ -88,8 +88,8 @@
         )
         advice_ms = 0.0
         if rule.advice is not None:
-            each = rule.advice.per_host_ms * ADVISED_WORKERS
-            advice_ms = rule.advice.base_ms + each
+            per_call_ms = rule.advice.per_host_ms * ADVISED_WORKERS
+            advice_ms = rule.advice.base_ms + per_call_ms
         return ranking.objective_ms(rule, chain, advice_ms)
 
     def restore(self, spec, progress, *, cancelled):
@@ -192,7 +192,7 @@
                 "state": state.value,
                 "queue": job.spec.queue,
                 "took_ms": round(took_ms),
-                "objective_ms": round(job.objective),
+                "objective_ms": round(job.objective_ms),
             },
         )
 
--- a/packages/cicadafold/src/cicadafold/dispatch/placing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/placing.py
@@ -236,7 +236,7 @@
         return ranked
 
     def can_start(self, step, tasks, now_ms):
-        """Whether a step may start: a gang needs all its tasks waiting."""
+        """Whether a step may start; a gang only whole and after its pause."""
         if not step.spec.gang:
             return True
         return (
@@ -250,7 +250,7 @@
         waiting = ranking.WaitingStep(
             priority=job.rule.priority,
             arrived_ms=job.due_ms(step.occurrence),
-            objective_ms=job.objective,
+            objective_ms=job.objective_ms,
             remaining_ms=task_ms * (len(job.spec.steps) - step.number),
         )
         rank = self.rank(waiting, now_ms)
@@ -323,7 +323,7 @@
         return True
 
     def demand(self, step, tasks=None, allowed=None, avoid=()):
-        """Returns the demand of some or (``tasks`` is None) all tasks."""
+        """Returns the demand for a number of tasks of a step, or for all."""
         spec = step.spec
         return views.Demand(
             tasks=spec.tasks if tasks is None else tasks,
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_stall_detector.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_stall_detector.py
@@ -37,7 +37,7 @@
     [None, exception.LogUnavailable(message="Down.", remedy="Wait.")],
 )
 def test_no_commands_after_a_stall_until_the_claim_is_read(time, error):
-    """Commands are allowed again once the claim was read or failed to be."""
+    """They are allowed again after the read, also if the store is down."""
     calls = []
 
     async def read_newest_claim():
