--- a/packages/cicadafold/src/cicadafold/service/peer_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/peer_calls.py
@@ -37,7 +37,7 @@
 @registry.call("GET", "/peer/burn", registry.Role.PEER)
 async def burn(node, request):
     """Returns this member's own burn report."""
-    return codec.json_response(operator_calls.own_burn(node))
+    return codec.json_response(operator_calls.local_burn_report(node))
 
 
 @registry.call("GET", "/healthz", registry.Role.ANYONE)
@@ -56,7 +56,7 @@
     gauges = {
         "log_offset": node.tail.state.offset,
         "configuration_revision": node.tail.state.configuration.revision,
-        "racks_owned": len(node.keeper.owners),
+        "racks_owned": len(node.rack_claimer.owners),
         "members_alive": len(node.view.alive_members()),
         "log_reachable": int(node.log_is_usable()),
         "requests_in_flight": node.in_flight,
