--- a/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
@@ -1,8 +1,8 @@
 """Costs of state at the letter's size, held by the code that serves it."""
 
 import asyncio
-from cicadafold.controllog import fold
 from cicadafold.controllog import records
+from cicadafold.controllog import replay
 from cicadafold.controllog import state as control_state
 from cicadafold import hosts as host_tables
 from cicadafold.membership import messages as gossip
@@ -265,7 +265,7 @@
         entry = platform.LogEntry(
             offset=offset, at_ms=offset, body=msgspec.Raw(body)
         )
-        fold.fold_entry(state, entry)
+        replay.apply_entry(state, entry)
     used = time.process_time() - began
     megabytes = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
--- a/packages/cicadafold/src/cicadafold/controllog/appender.py
+++ b/packages/cicadafold/src/cicadafold/controllog/appender.py
@@ -9,22 +9,22 @@
 
 __all__ = ["Appender"]
 
-LINGER_S = 0.05
-LINGER_PER_MEMBER_S = 0.01
+MIN_BATCH_DELAY_S = 0.05
+BATCH_DELAY_PER_MEMBER_S = 0.01
 RETRY_PAUSE_S = 0.1
-TRY_AGAIN_S = 0.5
+REFUSAL_EXPIRY_S = 0.5
 MAX_RECORDS_PER_APPEND = 500
 
 LOG = logs.get_logger("log")
 
 
-class Pending:
+class PendingRecord:
     """A record that waits for its append."""
 
-    def __init__(self, *, record, future, lasting):
+    def __init__(self, *, record, future, retry_refused):
         self.record = record
         self.future = future
-        self.lasting = lasting
+        self.retry_refused = retry_refused
         self.maybe_appended = False
 
 
@@ -40,9 +40,9 @@
         self.metrics = metrics
         self.count_members = count_members
         self.pending = []
-        self.arrived = asyncio.Event()
+        self.has_pending = asyncio.Event()
         self.down = False
-        self.refused_s = 0.0
+        self.last_refused_s = 0.0
 
     async def append(self, record):
         """Appends a record.
@@ -55,35 +55,41 @@
             LinkLost: The record may be on the log.
         """
         future = asyncio.get_running_loop().create_future()
-        self.push(Pending(record=record, future=future, lasting=False))
+        self.enqueue(
+            PendingRecord(record=record, future=future, retry_refused=False)
+        )
         return await future
 
-    def append_later(self, record):
+    def append_in_background(self, record):
         """Appends a record as soon as the log takes it."""
-        self.push(Pending(record=record, future=None, lasting=True))
+        self.enqueue(
+            PendingRecord(record=record, future=None, retry_refused=True)
+        )
 
-    def push(self, pending):
+    def enqueue(self, pending):
         """Adds a record to the next batch."""
         self.pending.append(pending)
-        self.arrived.set()
+        self.has_pending.set()
 
     async def run(self):
         """Appends batches for as long as the process lives."""
         while True:
-            await self.arrived.wait()
-            await asyncio.sleep(self.linger_s())
+            await self.has_pending.wait()
+            await asyncio.sleep(self.batch_delay_s())
             batch = self.pending[:MAX_RECORDS_PER_APPEND]
             del self.pending[: len(batch)]
             if not self.pending:
-                self.arrived.clear()
+                self.has_pending.clear()
             await self.append_batch(batch)
 
-    def linger_s(self):
+    def batch_delay_s(self):
         """Returns how long records gather before an append.
 
         All members together stay below 100 appends a second.
         """
-        return max(LINGER_S, self.count_members() * LINGER_PER_MEMBER_S)
+        return max(
+            MIN_BATCH_DELAY_S, self.count_members() * BATCH_DELAY_PER_MEMBER_S
+        )
 
     async def append_batch(self, batch):
         """Appends one batch and settles its records."""
@@ -91,44 +97,44 @@
         try:
             offset = await self.stream.append(body)
         except exception.LogUnavailable as error:
-            self.settle_refused(batch, error)
+            self.handle_refused_append(batch, error)
             await asyncio.sleep(RETRY_PAUSE_S)
         except exception.LinkLost as error:
-            self.settle_lost(batch, error)
+            self.handle_lost_answer(batch, error)
             await asyncio.sleep(RETRY_PAUSE_S)
         else:
-            self.note_down(False)
+            self.set_down(False)
             self.metrics.count("log_appends")
             self.metrics.count("log_append_bytes", len(body))
             for pending in batch:
                 if pending.future and not pending.future.done():
                     pending.future.set_result(offset)
 
-    def settle_refused(self, batch, error):
+    def handle_refused_append(self, batch, error):
         """Fails the records that are surely not on the log."""
-        self.note_down(True)
+        self.set_down(True)
         kept = []
         for pending in batch:
-            if pending.lasting:
+            if pending.retry_refused:
                 kept.append(pending)
             elif pending.maybe_appended:
-                fail(pending, lost_append())
+                fail(pending, unconfirmed_append())
             else:
                 fail(pending, error)
-        self.keep(kept)
+        self.requeue(kept)
 
-    def settle_lost(self, batch, error):
+    def handle_lost_answer(self, batch, error):
         """Repeats the records whose append may have taken effect."""
         LOG.warning("The answer to an append was lost. It is repeated.")
         for pending in batch:
             pending.maybe_appended = True
-        self.keep(batch)
+        self.requeue(batch)
 
-    def keep(self, batch):
+    def requeue(self, batch):
         """Puts records back at the head of the queue."""
         self.pending[:0] = batch
         if self.pending:
-            self.arrived.set()
+            self.has_pending.set()
 
     def is_refusing(self):
         """Whether an append was refused a short while ago.
@@ -136,13 +142,13 @@
         After a while the next append tries again; without it nobody would
         notice that the log is back.
         """
-        elapsed_s = time.monotonic() - self.refused_s
-        return self.down and elapsed_s < TRY_AGAIN_S
+        elapsed_s = time.monotonic() - self.last_refused_s
+        return self.down and elapsed_s < REFUSAL_EXPIRY_S
 
-    def note_down(self, down):
+    def set_down(self, down):
         """Logs when the log goes down or comes back."""
         if down:
-            self.refused_s = time.monotonic()
+            self.last_refused_s = time.monotonic()
         if down != self.down:
             self.down = down
             LOG.warning("Appends are %s.", "refused" if down else "taken")
@@ -154,7 +160,7 @@
         pending.future.set_exception(error)
 
 
-def lost_append():
+def unconfirmed_append():
     """Builds the error of a record that may be on the log."""
     return exception.LinkLost(
         message="The log stopped answering after an append.",
--- a/packages/cicadafold/src/cicadafold/controllog/fold.py
+++ b/packages/cicadafold/src/cicadafold/controllog/replay.py
@@ -10,26 +10,26 @@
 from cicadafold.controllog import records
 from cicadafold.controllog import state as control_state
 
-__all__ = ["DEDUPLICATION_WINDOW_MS", "Fold", "fold_entry"]
+__all__ = ["DEDUPLICATION_WINDOW_MS", "StateReplay", "apply_entry"]
 
 DEDUPLICATION_WINDOW_MS = 600_000
 MAX_HISTORY = 1000
 
-FOLDERS = {}
+APPLY_FUNCTIONS = {}
 
 
-def folds(record_type):
+def applies(record_type):
     """Registers the function that folds one type of record."""
 
     def register(function):
-        FOLDERS[record_type] = function
+        APPLY_FUNCTIONS[record_type] = function
         return function
 
     return register
 
 
-@folds(records.Join)
-def fold_join(state, record, entry):
+@applies(records.Join)
+def apply_join(state, record, entry):
     """Registers a member; its older incarnation counts as gone."""
     state.members[record.member] = control_state.MemberEntry(
         name=record.member,
@@ -41,16 +41,16 @@
     )
 
 
-@folds(records.Leave)
-def fold_leave(state, record, entry):
+@applies(records.Leave)
+def apply_leave(state, record, entry):
     """Marks the incarnation of a member as gone."""
     member = state.members.get(record.member)
     if member and member.incarnation == record.incarnation:
         member.left = True
 
 
-@folds(records.Claim)
-def fold_claim(state, record, entry):
+@applies(records.Claim)
+def apply_claim(state, record, entry):
     """Gives a rack a new owner if nobody else came first."""
     owner = state.owners.get(record.rack)
     current = owner.term if owner else 0
@@ -63,16 +63,16 @@
     )
 
 
-@folds(records.RackHosts)
-def fold_rack_hosts(state, record, entry):
+@applies(records.RackHosts)
+def apply_rack_hosts(state, record, entry):
     """Records the workers that the owner of a rack may use."""
     owner = state.owners.get(record.rack)
     if owner is not None and owner.term == record.term:
         state.rack_hosts[record.rack] = record.hosts
 
 
-@folds(records.Accept)
-def fold_accept(state, record, entry):
+@applies(records.Accept)
+def apply_accept(state, record, entry):
     """Records a request; a later accept of the same id is a duplicate.
 
     A request that was not run may be submitted again under its id.
@@ -97,8 +97,8 @@
     )
 
 
-@folds(records.Adopt)
-def fold_adopt(state, record, entry):
+@applies(records.Adopt)
+def apply_adopt(state, record, entry):
     """Gives an open request a new coordinator."""
     request = state.requests.get(record.request_id)
     if request is None or not control_state.is_open(request):
@@ -110,8 +110,8 @@
     request.attempt = entry.offset
 
 
-@folds(records.Done)
-def fold_done(state, record, entry):
+@applies(records.Done)
+def apply_done(state, record, entry):
     """Closes a request; the first outcome holds."""
     request = state.requests.get(record.request_id)
     if request is None or not control_state.is_open(request):
@@ -124,16 +124,16 @@
     request.payload = ""
 
 
-@folds(records.CancelMark)
-def fold_cancel(state, record, entry):
+@applies(records.CancelMark)
+def apply_cancel(state, record, entry):
     """Marks a request as cancelled."""
     request = state.requests.get(record.request_id)
     if request is not None and control_state.is_open(request):
         request.cancelled = True
 
 
-@folds(records.Change)
-def fold_change(state, record, entry):
+@applies(records.Change)
+def apply_change(state, record, entry):
     """Puts a configuration in force if its base is the current one."""
     if any(e.change_id == record.change_id for e in state.history):
         return
@@ -152,8 +152,8 @@
     del state.history[:-MAX_HISTORY]
 
 
-@folds(records.Snapshot)
-def fold_snapshot(state, record, entry):
+@applies(records.Snapshot)
+def apply_snapshot(state, record, entry):
     """Needs nothing: a member that folds has this state already."""
 
 
@@ -174,7 +174,7 @@
         del state.requests[request_id]
 
 
-def fold_entry(state, entry):
+def apply_entry(state, entry):
     """Folds one entry of the log into the state.
 
     Args:
@@ -186,13 +186,13 @@
     """
     found = records.decode_entry(entry.body)
     for record in found:
-        FOLDERS[type(record)](state, record, entry)
+        APPLY_FUNCTIONS[type(record)](state, record, entry)
     state.offset = entry.offset
     expire_requests(state, entry.at_ms)
     return found
 
 
-class Fold:
+class StateReplay:
     """Folds entries, and starts from a snapshot where needed.
 
     A new member sees entries from the oldest that the log keeps. Unless
@@ -205,19 +205,19 @@
         self.complete = False
         self.buffer = []
 
-    def begin(self, oldest):
+    def start(self, oldest):
         """Notes the oldest entry that the log keeps."""
         self.complete = oldest <= 1
 
-    def feed(self, entry):
+    def apply_entry(self, entry):
         """Takes the next entry and returns the records it holds."""
         if self.complete:
             if entry.offset <= self.state.offset:
                 return []
-            return fold_entry(self.state, entry)
-        return self.feed_incomplete(entry)
+            return apply_entry(self.state, entry)
+        return self.buffer_until_snapshot(entry)
 
-    def feed_incomplete(self, entry):
+    def buffer_until_snapshot(self, entry):
         """Buffers an entry until a usable snapshot is found."""
         self.buffer.append(entry)
         first = self.buffer[0].offset
@@ -227,17 +227,17 @@
                 and record.through >= first - 1
             )
             if usable:
-                return self.start_from(record)
+                return self.start_from_snapshot(record)
         return []
 
-    def begin_anew(self):
+    def start_without_snapshot(self):
         """Folds what was buffered although earlier entries are lost."""
         self.complete = True
         entries, self.buffer = self.buffer, []
         for entry in entries:
-            self.feed(entry)
+            self.apply_entry(entry)
 
-    def start_from(self, snapshot):
+    def start_from_snapshot(self, snapshot):
         """Takes over a snapshot and folds what came after it."""
         self.state = msgspec.json.decode(
             snapshot.state, type=control_state.ControlState
@@ -246,6 +246,6 @@
         found = []
         for entry in self.buffer:
             if entry.offset > self.state.offset:
-                found.extend(fold_entry(self.state, entry))
+                found.extend(apply_entry(self.state, entry))
         self.buffer = []
         return found
--- a/packages/cicadafold/src/cicadafold/controllog/snapshots.py
+++ b/packages/cicadafold/src/cicadafold/controllog/snapshots.py
@@ -28,15 +28,15 @@
     def __init__(self, *, node, retention_s):
         self.node = node
         self.interval_s = retention_s * RETENTION_SHARE
-        self.period_s = min(MAX_PERIOD_S, self.interval_s / 2)
+        self.check_period_s = min(MAX_PERIOD_S, self.interval_s / 2)
         self.last_offset = 0
         self.last_s = None
 
     async def run(self):
         """Looks each period whether a snapshot is due."""
-        self.node.tail.listen(self.on_records)
+        self.node.tail.add_listener(self.on_records)
         while True:
-            await asyncio.sleep(self.period_s)
+            await asyncio.sleep(self.check_period_s)
             if self.is_due():
                 await self.append()
 
@@ -63,7 +63,7 @@
             return False
         now_s = asyncio.get_running_loop().time()
         if self.last_s is None:
-            self.last_s = now_s - self.interval_s + self.period_s
+            self.last_s = now_s - self.interval_s + self.check_period_s
             return False
         entries = node.tail.state.offset - self.last_offset
         return now_s - self.last_s >= self.interval_s or entries >= MAX_ENTRIES
--- a/packages/cicadafold/src/cicadafold/controllog/tail.py
+++ b/packages/cicadafold/src/cicadafold/controllog/tail.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from cicadafold import clock
-from cicadafold.controllog import fold
+from cicadafold.controllog import replay
 from cicadafold import exception
 from cicadafold.telemetry import logs
 
@@ -28,9 +28,9 @@
         self.stream = stream
         self.accept_lost_state = accept_lost_state
         self.warned = False
-        self.fold = fold.Fold()
+        self.replay = replay.StateReplay()
         self.next_offset = 1
-        self.begun = False
+        self.started = False
         self.at_end = False
         self.reachable = True
         self.log_ahead_ms = 0.0
@@ -40,18 +40,18 @@
     @property
     def state(self):
         """The folded state."""
-        return self.fold.state
+        return self.replay.state
 
     @property
     def ready(self):
         """Whether the whole state has been folded at least once."""
-        return self.at_end and self.fold.complete
+        return self.at_end and self.replay.complete
 
     def age_ms(self, log_ms):
         """Returns the greatest age that a time of the log can have."""
         return clock.monotonic_ms() + self.log_ahead_ms - log_ms
 
-    def listen(self, function):
+    def add_listener(self, function):
         """Calls a function with the records of each folded entry."""
         self.listeners.append(function)
 
@@ -61,7 +61,7 @@
             try:
                 await self.read_once()
             except exception.LogUnavailable as error:
-                self.note_reachable(False, error.message)
+                self.set_reachable(False, error.message)
                 await asyncio.sleep(RETRY_PAUSE_S)
 
     async def read_once(self):
@@ -69,25 +69,25 @@
         wait_ms = WAIT_MS if self.at_end else 0
         sent_ms = clock.monotonic_ms()
         reply = await self.stream.read(start=self.next_offset, wait_ms=wait_ms)
-        self.note_reachable(True, "")
+        self.set_reachable(True, "")
         self.log_ahead_ms = reply.now_ms - sent_ms
-        if not self.begun:
-            self.fold.begin(reply.oldest)
-            self.begun = True
+        if not self.started:
+            self.replay.start(reply.oldest)
+            self.started = True
         if reply.entries and reply.entries[0].offset > self.next_offset:
             self.restart(reply)
         for entry in reply.entries:
-            self.fold_one(entry)
+            self.apply_entry(entry)
         self.at_end = self.next_offset >= reply.next_offset
-        if self.at_end and not self.fold.complete:
-            self.note_lost_state()
-        self.announce()
+        if self.at_end and not self.replay.complete:
+            self.handle_lost_state()
+        self.notify_waiters()
 
-    def note_lost_state(self):
+    def handle_lost_state(self):
         """Notes that the log holds no whole state any more."""
         if self.accept_lost_state:
             LOG.warning("The state is lost. It begins with what is left.")
-            self.fold.begin_anew()
+            self.replay.start_without_snapshot()
         elif not self.warned:
             self.warned = True
             LOG.error(
@@ -103,22 +103,22 @@
         """
         if self.next_offset > 1:
             LOG.warning("Entries were missed. The state is read anew.")
-            self.fold = fold.Fold()
-        self.fold.begin(reply.oldest)
+            self.replay = replay.StateReplay()
+        self.replay.start(reply.oldest)
 
-    def fold_one(self, entry):
+    def apply_entry(self, entry):
         """Folds an entry and tells the listeners."""
         self.next_offset = entry.offset + 1
-        found = self.fold.feed(entry)
+        found = self.replay.apply_entry(entry)
         for function in self.listeners:
             function(found)
 
-    def announce(self):
+    def notify_waiters(self):
         """Wakes all that wait for a change of the state."""
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def note_reachable(self, reachable, reason):
+    def set_reachable(self, reachable, reason):
         """Logs when the log goes away or comes back."""
         if reachable != self.reachable:
             self.reachable = reachable
@@ -128,7 +128,7 @@
                 reason,
             )
 
-    async def confirm(self, *, timeout_s):
+    async def catch_up(self, *, timeout_s):
         """Folds up to the end of the log as it is after this call began.
 
         Returns:
--- a/packages/cicadafold/src/cicadafold/controllog/tests/test_appender.py
+++ b/packages/cicadafold/src/cicadafold/controllog/tests/test_appender.py
@@ -28,7 +28,7 @@
         raise exception.LogUnavailable(message="down", remedy="later")
 
 
-def run_append(script, *, lasting=False):
+def run_append(script, *, retry_refused=False):
     """Appends one record and returns the outcome and the stream."""
 
     async def go():
@@ -41,8 +41,8 @@
         task = asyncio.create_task(made.run())
         record = records.Leave(member="a", incarnation="i")
         try:
-            if lasting:
-                made.append_later(record)
+            if retry_refused:
+                made.append_in_background(record)
                 while made.pending or not stream.bodies:
                     await asyncio.sleep(0.01)
                 return None, stream
@@ -62,7 +62,7 @@
             metrics=metrics.Metrics(),
             count_members=lambda members=members: members,
         )
-        assert members / made.linger_s() <= 100.0001
+        assert members / made.batch_delay_s() <= 100.0001
 
 
 def test_refused_append_is_surely_not_on_the_log():
@@ -83,7 +83,7 @@
 
 
 def test_lasting_record_outlives_an_outage():
-    _, stream = run_append(["refused", "refused", "ok"], lasting=True)
+    _, stream = run_append(["refused", "refused", "ok"], retry_refused=True)
     assert len(stream.bodies) == 1
 
 
@@ -114,7 +114,7 @@
         metrics=metrics.Metrics(),
         count_members=lambda: 1,
     )
-    made.note_down(True)
+    made.set_down(True)
     assert made.is_refusing()
-    monkeypatch.setattr(appender, "TRY_AGAIN_S", 0.0)
+    monkeypatch.setattr(appender, "REFUSAL_EXPIRY_S", 0.0)
     assert not made.is_refusing()
--- a/packages/cicadafold/src/cicadafold/controllog/tests/test_fold.py
+++ b/packages/cicadafold/src/cicadafold/controllog/tests/test_replay.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies as st
 import msgspec
 
-from cicadafold.controllog import fold
 from cicadafold.controllog import records
+from cicadafold.controllog import replay
 from cicadafold.platform import messages as platform
 from cicadafold_schema import messages
 
@@ -74,12 +74,12 @@
     ]
 
 
-def feed(entries):
+def replay_all(entries):
     """Folds entries that begin with the first of the log."""
-    found = fold.Fold()
-    found.begin(1)
+    found = replay.StateReplay()
+    found.start(1)
     for entry in entries:
-        found.feed(entry)
+        found.apply_entry(entry)
     return found.state
 
 
@@ -116,7 +116,7 @@
 
 @given(streams)
 def test_owners_agree_with_naive_scan(stream):
-    state = feed(entries_of(stream))
+    state = replay_all(entries_of(stream))
     for rack in ("r1", "r2"):
         owner = state.owners.get(rack)
         found = (owner.member, owner.term) if owner else (None, 0)
@@ -125,7 +125,7 @@
 
 @given(streams)
 def test_requests_agree_with_naive_scan(stream):
-    state = feed(entries_of(stream))
+    state = replay_all(entries_of(stream))
     for request_id in ("q1", "q2", "q3"):
         entry = state.requests.get(request_id)
         found = entry and (entry.coordinator, entry.attempt, entry.outcome)
@@ -134,11 +134,11 @@
 
 @given(streams)
 def test_revision_counts_each_change_once_and_never_falls(stream):
-    found = fold.Fold()
-    found.begin(1)
+    found = replay.StateReplay()
+    found.start(1)
     last = 0
     for entry in entries_of(stream):
-        found.feed(entry)
+        found.apply_entry(entry)
         revision = found.state.configuration.revision
         assert last <= revision
         last = revision
@@ -154,26 +154,28 @@
     cut = min(cut, through)
     snapshot = records.Snapshot(
         through=through,
-        state=msgspec.Raw(msgspec.json.encode(feed(entries[:through]))),
+        state=msgspec.Raw(msgspec.json.encode(replay_all(entries[:through]))),
     )
     last = platform.LogEntry(
         offset=len(entries) + 1,
         at_ms=len(entries) * 10 + 10,
         body=msgspec.Raw(records.encode_entry([snapshot])),
     )
-    joiner = fold.Fold()
-    joiner.begin(max(2, cut + 1))
+    joiner = replay.StateReplay()
+    joiner.start(max(2, cut + 1))
     for entry in [*entries[cut:], last]:
-        joiner.feed(entry)
-    whole = feed([*entries, last])
+        joiner.apply_entry(entry)
+    whole = replay_all([*entries, last])
     assert joiner.complete
     assert msgspec.to_builtins(joiner.state) == msgspec.to_builtins(whole)
 
 
 def test_joiner_without_snapshot_is_incomplete():
-    joiner = fold.Fold()
-    joiner.begin(7)
-    joiner.feed(platform.LogEntry(offset=7, at_ms=1, body=msgspec.Raw(b"[]")))
+    joiner = replay.StateReplay()
+    joiner.start(7)
+    joiner.apply_entry(
+        platform.LogEntry(offset=7, at_ms=1, body=msgspec.Raw(b"[]"))
+    )
     assert not joiner.complete
 
 
@@ -189,9 +191,9 @@
         deadline_ms=1,
     )
     done = records.Done(request_id="q", outcome=messages.Outcome.done)
-    found = fold.Fold()
-    found.begin(1)
-    window = fold.DEDUPLICATION_WINDOW_MS
+    found = replay.StateReplay()
+    found.start(1)
+    window = replay.DEDUPLICATION_WINDOW_MS
     times = [0, 1, window - 1, window + 2]
     batches = [[accept], [done], [], []]
     kept = []
@@ -199,6 +201,8 @@
         zip(times, batches, strict=True), start=1
     ):
         body = msgspec.Raw(records.encode_entry(batch))
-        found.feed(platform.LogEntry(offset=offset, at_ms=at_ms, body=body))
+        found.apply_entry(
+            platform.LogEntry(offset=offset, at_ms=at_ms, body=body)
+        )
         kept.append("q" in found.state.requests)
     assert kept == [True, True, True, False]
--- a/packages/cicadafold/src/cicadafold/ledger/adoption.py
+++ b/packages/cicadafold/src/cicadafold/coordination/adoption.py
@@ -10,8 +10,8 @@
 from cicadafold import clock
 from cicadafold.controllog import records
 from cicadafold.controllog import state as control_state
+from cicadafold.coordination import request_dispatcher
 from cicadafold import exception
-from cicadafold.ledger import placing
 from cicadafold.ownership import assignment
 from cicadafold.telemetry import logs
 from cicadafold_schema import messages
@@ -41,7 +41,7 @@
         self.coordinate = coordinate
         self.adopting = set()
         self.open_ids = set()
-        self.indexed = None
+        self.indexed_state = None
 
     def on_record(self, record):
         """Follows which requests are open, and adoptions."""
@@ -67,9 +67,9 @@
         kind = self.node.kind(entry.kind)
         if ours and kind is not None:
             LOG.info("%s is adopted.", entry.request_id)
-            self.coordinate(self.adopted(entry, kind))
+            self.coordinate(self.build_request(entry, kind))
 
-    def adopted(self, entry, kind):
+    def build_request(self, entry, kind):
         """Builds the request of an adopted entry."""
         submit = messages.SubmitRequest(
             request_id=entry.request_id,
@@ -81,7 +81,7 @@
         age_ms = self.node.tail.age_ms(entry.accepted_ms)
         rest_ms = entry.deadline_ms - age_ms
         budget_ms = max(ADOPTED_MIN_BUDGET_MS, rest_ms)
-        request = placing.PlacingRequest(
+        request = request_dispatcher.PendingRequest(
             submit=submit,
             kind=kind,
             deadline_ms=clock.monotonic_ms() + budget_ms,
@@ -89,7 +89,9 @@
             first=False,
             adopted=True,
         )
-        request.born_ms -= self.node.tail.age_ms(entry.accepted_ms)
+        request.earliest_dispatch_ms -= self.node.tail.age_ms(
+            entry.accepted_ms
+        )
         return request
 
     async def run(self):
@@ -103,39 +105,39 @@
         """Appends adopt records for the requests that fall to us."""
         members = self.node.keeper.candidates()
         state = self.node.tail.state
-        self.index_open(state)
+        self.index_open_requests(state)
         for request_id in list(self.open_ids):
             entry = state.requests.get(request_id)
             if entry is None or not control_state.is_open(entry):
                 self.open_ids.discard(request_id)
                 continue
-            if entry.request_id in self.adopting or self.is_looked_after(
+            if entry.request_id in self.adopting or self.coordinator_is_alive(
                 entry, state
             ):
                 continue
-            if self.falls_to_us(entry, members):
+            if self.should_adopt(entry, members):
                 self.adopting.add(entry.request_id)
                 asyncio.create_task(self.adopt(entry))
 
-    def index_open(self, state):
+    def index_open_requests(self, state):
         """Finds the open requests once after a snapshot was taken over."""
-        if self.indexed is state:
+        if self.indexed_state is state:
             return
-        self.indexed = state
+        self.indexed_state = state
         self.open_ids = {
             entry.request_id
             for entry in state.requests.values()
             if control_state.is_open(entry)
         }
 
-    def is_looked_after(self, entry, state):
+    def coordinator_is_alive(self, entry, state):
         """Whether the coordinator of a request counts as alive."""
         member = state.members.get(entry.coordinator)
         if member is None or member.incarnation != entry.incarnation:
             return False
         return self.node.view.is_alive(member)
 
-    def falls_to_us(self, entry, members):
+    def should_adopt(self, entry, members):
         """Whether this member should adopt a request."""
         near = [m for m in members if m.region == entry.region] or members
         if not near:
--- a/packages/cicadafold/src/cicadafold/ledger/answers.py
+++ b/packages/cicadafold/src/cicadafold/coordination/answers.py
@@ -5,7 +5,7 @@
 from cicadafold import exception
 from cicadafold.peerlink import frames
 
-__all__ = ["answer_of_entry", "answer_of_reply", "done_of_reply"]
+__all__ = ["answer_of_entry", "answer_of_reply", "done_fields"]
 
 Status = frames.ReplyStatus
 Outcome = messages.Outcome
@@ -42,7 +42,7 @@
             waited_us=reply.waited_us,
             decision_us=reply.decision_us,
         )
-    raise error_of(outcome, reply.code, reply.text, reply.retry_after_ms)
+    raise outcome_error(outcome, reply.code, reply.text, reply.retry_after_ms)
 
 
 def answer_of_entry(entry):
@@ -58,10 +58,10 @@
             result=entry.result,
             worker=entry.worker,
         )
-    raise error_of(entry.outcome, entry.code, "", 0)
+    raise outcome_error(entry.outcome, entry.code, "", 0)
 
 
-def error_of(outcome, code, text, retry_after_ms):
+def outcome_error(outcome, code, text, retry_after_ms):
     """Builds the exception of an outcome that is not done."""
     if outcome is Outcome.failed:
         return exception.TargetFailed(
@@ -88,7 +88,7 @@
     )
 
 
-def done_of_reply(reply):
+def done_fields(reply):
     """Returns outcome, result, worker and code for the done record."""
     return {
         "outcome": OUTCOME_BY_STATUS[reply.status],
--- a/packages/cicadafold/src/cicadafold/ledger/coordinator.py
+++ b/packages/cicadafold/src/cicadafold/coordination/coordinator.py
@@ -16,10 +16,10 @@
 from cicadafold import clock
 from cicadafold.controllog import records
 from cicadafold.controllog import state as control_state
+from cicadafold.coordination import adoption
+from cicadafold.coordination import answers
+from cicadafold.coordination import request_dispatcher
 from cicadafold import exception
-from cicadafold.ledger import adoption
-from cicadafold.ledger import answers
-from cicadafold.ledger import placing
 from cicadafold.peerlink import frames
 from cicadafold.telemetry import logs
 
@@ -27,7 +27,7 @@
 
 SERVICE_POLL_S = 2.0
 RETRY_AFTER_MS = 1000
-MAX_TRIES = 5
+MAX_DEADLINE_EXTENSIONS = 5
 
 LOG = logs.get_logger("ledger")
 
@@ -43,16 +43,16 @@
 
     def __init__(self, *, node):
         self.node = node
-        self.placing = placing.Placing(node=node)
+        self.dispatcher = request_dispatcher.RequestDispatcher(node=node)
         self.waiters = {}
-        self.coordinating = {}
-        self.abandoned = set()
-        self.running = {}
+        self.request_tasks = {}
+        self.abandoned_nonces = set()
+        self.running_replies = {}
         self.adopter = adoption.Adopter(node=node, coordinate=self.coordinate)
 
     def start(self):
         """Begins to listen to the control stream."""
-        self.node.tail.listen(self.on_records)
+        self.node.tail.add_listener(self.on_records)
 
     async def submit(self, submit, kind, deadline_ms):
         """Runs a recorded request and returns its answer.
@@ -66,12 +66,12 @@
             CicadafoldError: The request was not done.
         """
         known = self.node.tail.state.requests.get(submit.request_id)
-        if known is not None and not was_not_run(known):
-            check_same(known, submit)
-            return await self.follow(submit, deadline_ms)
+        if known is not None and not ended_not_run(known):
+            check_same_request(known, submit)
+            return await self.wait_for_answer(submit, deadline_ms)
         entry = await self.accept(submit, kind, deadline_ms)
         if entry is not None:
-            request = placing.PlacingRequest(
+            request = request_dispatcher.PendingRequest(
                 submit=submit,
                 kind=kind,
                 deadline_ms=deadline_ms,
@@ -79,7 +79,7 @@
                 first=submit.attempt == 1,
             )
             self.coordinate(request)
-        return await self.follow(submit, deadline_ms)
+        return await self.wait_for_answer(submit, deadline_ms)
 
     async def accept(self, submit, kind, deadline_ms):
         """Records a request; returns its entry if we coordinate it."""
@@ -101,28 +101,28 @@
             deadline_ms=int(deadline_ms - clock.monotonic_ms()),
             payload=submit.payload,
         )
-        await self.append_and_fold(record, nonce, deadline_ms)
+        await self.append_and_apply(record, nonce, deadline_ms)
         entry = self.node.tail.state.requests.get(submit.request_id)
         if entry is None:
             raise unknown_outcome()
-        check_same(entry, submit)
+        check_same_request(entry, submit)
         return entry if entry.nonce == nonce else None
 
-    async def append_and_fold(self, record, nonce, deadline_ms):
+    async def append_and_apply(self, record, nonce, deadline_ms):
         """Appends an accept record and waits until it is folded."""
         tail = self.node.tail
         try:
-            async with asyncio.timeout(left_s(deadline_ms)):
+            async with asyncio.timeout(remaining_s(deadline_ms)):
                 offset = await self.node.appender.append(record)
         except (exception.LinkLost, TimeoutError) as error:
-            self.abandoned.add(nonce)
+            self.abandoned_nonces.add(nonce)
             raise unknown_outcome() from error
         folded = await tail.wait_until(
             lambda: tail.state.offset >= offset,
-            timeout_s=left_s(deadline_ms),
+            timeout_s=remaining_s(deadline_ms),
         )
         if not folded:
-            self.abandoned.add(nonce)
+            self.abandoned_nonces.add(nonce)
             raise unknown_outcome()
 
     def coordinate(self, request):
@@ -131,41 +131,41 @@
         A task of an earlier attempt is given up; its dispatches are
         refused, and sending them again is safe.
         """
-        earlier = self.coordinating.get(request.request_id)
+        earlier = self.request_tasks.get(request.request_id)
         if earlier is not None:
             earlier.cancel()
         task = asyncio.create_task(self.run_request(request))
-        self.coordinating[request.request_id] = task
+        self.request_tasks[request.request_id] = task
         task.add_done_callback(
             functools.partial(self.forget_task, request.request_id)
         )
 
     def forget_task(self, request_id, task):
         """Forgets a task that has ended, and logs a fault of ours."""
-        if self.coordinating.get(request_id) is task:
-            del self.coordinating[request_id]
+        if self.request_tasks.get(request_id) is task:
+            del self.request_tasks[request_id]
         if not task.cancelled() and task.exception() is not None:
             LOG.error("%s failed: %r", request_id, task.exception())
 
     async def run_request(self, request):
         """Places a request and records its outcome."""
         while True:
-            reply = await self.place(request)
-            if not self.is_ours(request):
+            reply = await self.dispatch(request)
+            if not self.is_coordinator_of(request):
                 return
-            if self.may_try_again(request, reply):
+            if self.extend_deadline(request, reply):
                 continue
             if reply.status is not frames.ReplyStatus.RUNNING:
                 break
-            self.note_running(request, reply)
+            self.answer_running(request, reply)
             await asyncio.sleep(SERVICE_POLL_S)
             request.first = False
             request.deadline_ms = (
                 clock.monotonic_ms() + request.kind.deadline_ms
             )
-        await self.close(request, reply)
+        await self.record_outcome(request, reply)
 
-    def may_try_again(self, request, reply):
+    def extend_deadline(self, request, reply):
         """Whether durable idempotent work is given another deadline.
 
         Its callers have been answered by their own deadline; the work
@@ -175,18 +175,18 @@
         unknown = reply.status is frames.ReplyStatus.UNKNOWN
         if not (unknown and kind.idempotent and kind.durable):
             return False
-        request.tries += 1
-        if request.tries > MAX_TRIES:
+        request.deadline_extensions += 1
+        if request.deadline_extensions > MAX_DEADLINE_EXTENSIONS:
             return False
         request.first = False
         request.adopted = True
         request.deadline_ms = clock.monotonic_ms() + kind.deadline_ms
         return True
 
-    async def place(self, request):
+    async def dispatch(self, request):
         """Places a request; an error becomes a refusal."""
         try:
-            return await self.placing.place(request)
+            return await self.dispatcher.dispatch(request)
         except exception.CicadafoldError as error:
             return frames.Reply(
                 serial=0,
@@ -196,67 +196,67 @@
                 retry_after_ms=error.retry_after_ms or 0,
             )
 
-    def is_ours(self, request):
+    def is_coordinator_of(self, request):
         """Whether this member still coordinates a request."""
         entry = self.node.tail.state.requests.get(request.request_id)
         if entry is None or not control_state.is_open(entry):
             return False
         return entry.attempt == request.attempt
 
-    def note_running(self, request, reply):
+    def answer_running(self, request, reply):
         """Answers those that wait for a service to be placed."""
-        self.running[request.request_id] = reply
+        self.running_replies[request.request_id] = reply
         answer = answers.answer_of_reply(request.request_id, reply)
         for future in self.waiters.pop(request.request_id, []):
             if not future.done():
                 future.set_result(answer)
 
-    async def close(self, request, reply):
+    async def record_outcome(self, request, reply):
         """Records the outcome and answers those that wait.
 
         An outcome of "not run" is told only after it is on the log, as
         another member would otherwise adopt the request and run it.
         """
         record = records.Done(
-            request_id=request.request_id, **answers.done_of_reply(reply)
+            request_id=request.request_id, **answers.done_fields(reply)
         )
         if record.outcome is not messages.Outcome.not_run:
-            self.node.appender.append_later(record)
-            self.settle_reply(request.request_id, reply)
+            self.node.appender.append_in_background(record)
+            self.answer_waiters(request.request_id, reply)
             return
         try:
             await self.node.appender.append(record)
         except (exception.LogUnavailable, exception.LinkLost):
-            self.node.appender.append_later(record)
-            self.settle_error(request.request_id, unknown_outcome())
+            self.node.appender.append_in_background(record)
+            self.fail_waiters(request.request_id, unknown_outcome())
         else:
-            self.settle_reply(request.request_id, reply)
+            self.answer_waiters(request.request_id, reply)
 
-    def settle_reply(self, request_id, reply):
+    def answer_waiters(self, request_id, reply):
         """Answers those that wait with a final reply."""
         try:
             answer = answers.answer_of_reply(request_id, reply)
         except exception.CicadafoldError as error:
-            self.settle_error(request_id, error)
+            self.fail_waiters(request_id, error)
             return
         for future in self.waiters.pop(request_id, []):
             if not future.done():
                 future.set_result(answer)
 
-    def settle_error(self, request_id, error):
+    def fail_waiters(self, request_id, error):
         """Answers those that wait with an error."""
         for future in self.waiters.pop(request_id, []):
             if not future.done():
                 future.set_exception(error)
 
-    async def follow(self, submit, deadline_ms):
+    async def wait_for_answer(self, submit, deadline_ms):
         """Waits for the final answer of a recorded request."""
         entry = self.node.tail.state.requests.get(submit.request_id)
         if entry is not None and not control_state.is_open(entry):
             return answers.answer_of_entry(entry)
-        if submit.request_id in self.running:
+        if submit.request_id in self.running_replies:
             return answers.answer_of_reply(
-                submit.request_id, self.running[submit.request_id]
+                submit.request_id, self.running_replies[submit.request_id]
             )
         if not submit.wait:
             return messages.Answer(
@@ -266,7 +266,7 @@
         future = asyncio.get_running_loop().create_future()
         self.waiters.setdefault(submit.request_id, []).append(future)
         try:
-            async with asyncio.timeout(left_s(deadline_ms) + 1.0):
+            async with asyncio.timeout(remaining_s(deadline_ms) + 1.0):
                 return await future
         except TimeoutError as error:
             raise unknown_outcome() from error
@@ -294,7 +294,7 @@
 
     def on_done(self, record):
         """Answers those that wait for a request another member closed."""
-        self.running.pop(record.request_id, None)
+        self.running_replies.pop(record.request_id, None)
         if record.request_id not in self.waiters:
             return
         entry = self.node.tail.state.requests.get(record.request_id)
@@ -303,7 +303,7 @@
         try:
             answer = answers.answer_of_entry(entry)
         except exception.CicadafoldError as error:
-            self.settle_error(record.request_id, error)
+            self.fail_waiters(record.request_id, error)
             return
         for future in self.waiters.pop(record.request_id):
             if not future.done():
@@ -311,12 +311,12 @@
 
     def on_accept(self, record):
         """Closes a request whose accept was given up on."""
-        if record.nonce not in self.abandoned:
+        if record.nonce not in self.abandoned_nonces:
             return
-        self.abandoned.discard(record.nonce)
+        self.abandoned_nonces.discard(record.nonce)
         entry = self.node.tail.state.requests.get(record.request_id)
         if entry is not None and entry.nonce == record.nonce:
-            self.node.appender.append_later(
+            self.node.appender.append_in_background(
                 records.Done(
                     request_id=record.request_id,
                     outcome=messages.Outcome.not_run,
@@ -325,12 +325,12 @@
             )
 
 
-def was_not_run(entry):
+def ended_not_run(entry):
     """Whether a recorded request was closed as not run."""
     return entry.outcome is messages.Outcome.not_run
 
 
-def check_same(entry, submit):
+def check_same_request(entry, submit):
     """Refuses a request id that is in use for another request."""
     if (entry.kind, entry.team) != (submit.kind, submit.team):
         raise exception.RequestConflict(
@@ -348,6 +348,6 @@
     )
 
 
-def left_s(deadline_ms):
+def remaining_s(deadline_ms):
     """Returns the seconds that are left until a deadline."""
     return max(0.0, (deadline_ms - clock.monotonic_ms()) / clock.MILLISECONDS)
--- a/packages/cicadafold/src/cicadafold/ledger/placing.py
+++ b/packages/cicadafold/src/cicadafold/coordination/request_dispatcher.py
@@ -8,17 +8,17 @@
 from cicadafold import exception
 from cicadafold.peerlink import frames
 
-__all__ = ["Placing", "PlacingRequest"]
+__all__ = ["RequestDispatcher", "PendingRequest"]
 
 RETRY_PAUSE_S = 0.05
 REPLY_GRACE_MS = 500
-HOME_PATIENCE_MS = 2500
+ASSIGNED_RACK_TIMEOUT_MS = 2500
 LOCATE_TIMEOUT_S = 3.0
 
 Status = frames.ReplyStatus
 
 
-class PlacingRequest:
+class PendingRequest:
     """A request on its way to the owner of a rack.
 
     Attributes:
@@ -48,26 +48,26 @@
         self.attempt = attempt
         self.first = first
         self.adopted = adopted
-        self.began_ms = clock.monotonic_ms()
-        self.born_ms = self.began_ms
+        self.created_ms = clock.monotonic_ms()
+        self.earliest_dispatch_ms = self.created_ms
         self.spent_us = 0
-        self.tries = 0
+        self.deadline_extensions = 0
         self.hops = 0
         self.rack = None
-        self.in_doubt = False
+        self.possibly_run = False
 
     def age_ms(self):
         """Returns the milliseconds since a dispatch may have been sent."""
-        return int(clock.monotonic_ms() - self.born_ms) + 1
+        return int(clock.monotonic_ms() - self.earliest_dispatch_ms) + 1
 
 
-class Placing:
+class RequestDispatcher:
     """Dispatches requests; every step is safe to repeat."""
 
     def __init__(self, *, node):
         self.node = node
 
-    async def place(self, request):
+    async def dispatch(self, request):
         """Returns the final reply of the owner of a rack.
 
         Args:
@@ -76,30 +76,30 @@
         Returns:
             A reply whose status is not ``MOVED`` or ``REDIRECT``.
         """
-        began_ms = clock.monotonic_ms()
+        started_ms = clock.monotonic_ms()
         if request.rack is None or request.adopted:
             self.choose_rack(request)
-        spent_ms = clock.monotonic_ms() - began_ms
+        spent_ms = clock.monotonic_ms() - started_ms
         request.spent_us = int(spent_ms * clock.MILLISECONDS)
         if request.adopted and not await self.locate(request):
-            return expired(request)
-        if request.in_doubt:
-            return in_doubt()
+            return expired_reply(request)
+        if request.possibly_run:
+            return possibly_run_reply()
         while True:
             budget_ms = request.deadline_ms - clock.monotonic_ms()
             if budget_ms <= 0:
-                return expired(request)
+                return expired_reply(request)
             owner = self.live_owner(request.rack)
             if owner is None:
                 self.try_another_rack(request)
-                await self.pause(request)
+                await self.wait_before_retry(request)
                 continue
-            reply = await self.dispatch(request, owner, budget_ms)
+            reply = await self.send_dispatch(request, owner, budget_ms)
             if reply is None:
-                await self.pause(request)
+                await self.wait_before_retry(request)
             elif reply.status is Status.MOVED:
                 request.first = request.first and not reply.started
-                await self.pause(request)
+                await self.wait_before_retry(request)
             elif reply.status is Status.REDIRECT:
                 request.rack = reply.rack
                 request.hops += 1
@@ -137,22 +137,25 @@
         unasked = set(self.node.racks_that_fit(request.kind))
         while unasked and clock.monotonic_ms() < request.deadline_ms:
             replies = await asyncio.gather(
-                *(self.ask_rack(request, rack) for rack in sorted(unasked))
+                *(
+                    self.locate_in_rack(request, rack)
+                    for rack in sorted(unasked)
+                )
             )
             for rack, reply in zip(sorted(unasked), replies, strict=True):
                 if reply is None or reply.status is Status.MOVED:
                     continue
                 if reply.status is Status.KNOWN:
                     request.rack = rack
-                    request.in_doubt = False
+                    request.possibly_run = False
                     return True
-                request.in_doubt |= reply.status is Status.UNKNOWN
+                request.possibly_run |= reply.status is Status.UNKNOWN
                 unasked.discard(rack)
             if unasked:
-                await self.pause(request)
+                await self.wait_before_retry(request)
         return not unasked
 
-    async def ask_rack(self, request, rack):
+    async def locate_in_rack(self, request, rack):
         """Asks the owner of a rack whether it knows a request."""
         owner = self.live_owner(rack)
         if owner is None:
@@ -186,15 +189,15 @@
         Duplicates of a request meet at its home rack, so that it is left
         only when its owner has not come back for a while.
         """
-        waited_ms = clock.monotonic_ms() - request.began_ms
-        if not request.first or waited_ms < HOME_PATIENCE_MS:
+        waited_ms = clock.monotonic_ms() - request.created_ms
+        if not request.first or waited_ms < ASSIGNED_RACK_TIMEOUT_MS:
             return
         for rack in self.node.candidate_racks(request):
             if self.live_owner(rack) is not None:
                 request.rack = rack
                 return
 
-    async def dispatch(self, request, owner, budget_ms):
+    async def send_dispatch(self, request, owner, budget_ms):
         """Sends one dispatch and returns its reply, or None."""
         frame = frames.Dispatch(
             serial=0,
@@ -221,7 +224,7 @@
             request.first = False
             return None
 
-    async def pause(self, request):
+    async def wait_before_retry(self, request):
         """Waits a little, or until the folded state changes."""
         try:
             async with asyncio.timeout(RETRY_PAUSE_S):
@@ -230,7 +233,7 @@
             pass
 
 
-def expired(request):
+def expired_reply(request):
     """Builds the reply of a request whose deadline has passed."""
     if request.first:
         return frames.Reply(
@@ -248,7 +251,7 @@
     )
 
 
-def in_doubt():
+def possibly_run_reply():
     """Builds the reply of a request that a lost worker may have run."""
     return frames.Reply(
         serial=0,
--- a/packages/cicadafold/src/cicadafold/ledger/tests/test_coordinator.py
+++ b/packages/cicadafold/src/cicadafold/coordination/tests/test_coordinator.py
@@ -3,15 +3,15 @@
 import asyncio
 import types
 
-from cicadafold.ledger import coordinator
-from cicadafold.ledger import placing
+from cicadafold.coordination import coordinator
+from cicadafold.coordination import request_dispatcher
 from cicadafold.ownership import task_names
 from cicadafold_schema import messages
 from cicadafold_standins import memory
 
 
 def make_request(attempt):
-    return placing.PlacingRequest(
+    return request_dispatcher.PendingRequest(
         submit=messages.SubmitRequest(request_id="q", kind="k", team="t"),
         kind=memory.make_kind(durable=True),
         deadline_ms=0.0,
@@ -37,10 +37,10 @@
         made.run_request = run_request
         made.coordinate(make_request(5))
         await asyncio.sleep(0)
-        first = made.coordinating["q"]
+        first = made.request_tasks["q"]
         made.coordinate(make_request(9))
         await asyncio.sleep(0.01)
-        second = made.coordinating["q"]
+        second = made.request_tasks["q"]
         second_lives = not second.done()
         second.cancel()
         return placed, first.cancelled(), second_lives
--- a/packages/cicadafold/src/cicadafold/daemon/node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/node.py
@@ -14,10 +14,10 @@
 from cicadafold.controllog import snapshots
 from cicadafold.controllog import state as control_state
 from cicadafold.controllog import tail
+from cicadafold.coordination import coordinator
 from cicadafold.daemon import supervision
 from cicadafold import exception
 from cicadafold import hosts as host_table
-from cicadafold.ledger import coordinator
 from cicadafold.membership import gossip
 from cicadafold.membership import view
 from cicadafold.ownership import keeper
@@ -166,7 +166,7 @@
             on_lost=self.gossiper.doubt,
         )
         self.coordinator.start()
-        self.tail.listen(self.on_records)
+        self.tail.add_listener(self.on_records)
 
     def supervisor(self):
         """Returns the supervisor of all components."""
@@ -206,7 +206,7 @@
             failure_domain=self.failure_domain,
             region=self.region,
         )
-        self.appender.append_later(record)
+        self.appender.append_in_background(record)
         while self.own_member() is None:
             await self.tail.changed.wait()
         LOG.info("This member has joined the cell.")
@@ -464,7 +464,7 @@
         Args:
             owner: Owner of the rack in this process.
         """
-        reached = await self.tail.confirm(timeout_s=CONFIRM_TIMEOUT_S)
+        reached = await self.tail.catch_up(timeout_s=CONFIRM_TIMEOUT_S)
         current = self.tail.state.owners.get(owner.name)
         return (
             reached
--- a/packages/cicadafold/src/cicadafold/ledger/tests/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Tests of ``cicadafold.ledger``."""
--- a/packages/cicadafold/src/cicadafold/ownership/rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from cicadafold import clock
-from cicadafold.controllog import fold
+from cicadafold.controllog import replay
 from cicadafold.membership import messages as gossip
 from cicadafold.ownership import admission
 from cicadafold.ownership import concluding
@@ -317,7 +317,7 @@
     def forget_expired(self):
         """Forgets answers that were kept for long enough."""
         now_ms = clock.monotonic_ms()
-        if now_ms - self.began_ms > fold.DEDUPLICATION_WINDOW_MS:
+        if now_ms - self.began_ms > replay.DEDUPLICATION_WINDOW_MS:
             self.found.forget_closed()
         while self.expiring and self.expiring[0][0] <= now_ms:
             _, work = self.expiring.popleft()
--- a/packages/cicadafold/src/cicadafold/ownership/service.py
+++ b/packages/cicadafold/src/cicadafold/ownership/service.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from cicadafold.controllog import state as control_state
-from cicadafold.ledger import answers
+from cicadafold.coordination import answers
 from cicadafold.peerlink import frames
 from cicadafold.peerlink import server
 
--- a/packages/cicadafold/src/cicadafold/service/caller_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/caller_calls.py
@@ -10,9 +10,9 @@
 from cicadafold import clock
 from cicadafold.controllog import records
 from cicadafold.controllog import state as control_state
+from cicadafold.coordination import answers
+from cicadafold.coordination import request_dispatcher
 from cicadafold import exception
-from cicadafold.ledger import answers
-from cicadafold.ledger import placing
 from cicadafold.peerlink import frames
 from cicadafold.service import codec
 from cicadafold.service import registry
@@ -97,13 +97,13 @@
     is_service = kind.shape is messages.Shape.service
     if kind.durable or is_service or not kind.idempotent:
         return await node.coordinator.submit(asked, kind, deadline_ms)
-    request = placing.PlacingRequest(
+    request = request_dispatcher.PendingRequest(
         submit=asked,
         kind=kind,
         deadline_ms=deadline_ms,
         first=asked.attempt == 1,
     )
-    reply = await node.coordinator.placing.place(request)
+    reply = await node.coordinator.dispatcher.dispatch(request)
     return answers.answer_of_reply(asked.request_id, reply)
 
 
@@ -120,7 +120,7 @@
     require_ready(node)
     entry = node.tail.state.requests.get(request_id)
     if entry is None:
-        confirmed = await node.tail.confirm(timeout_s=CONFIRM_TIMEOUT_S)
+        confirmed = await node.tail.catch_up(timeout_s=CONFIRM_TIMEOUT_S)
         entry = node.tail.state.requests.get(request_id)
         if entry is None:
             raise unknown_request(confirmed)
@@ -152,7 +152,7 @@
     """Returns the state of a recorded request as an answer."""
     outcome = entry.outcome
     if outcome is None:
-        running = entry.request_id in node.coordinator.running
+        running = entry.request_id in node.coordinator.running_replies
         outcome = messages.Outcome.accepted
         if running:
             outcome = messages.Outcome.running
@@ -172,7 +172,7 @@
         request_id=entry.request_id, kind=entry.kind, team=entry.team
     )
     deadline_ms = clock.monotonic_ms() + WAIT_S * clock.MILLISECONDS
-    answer = await node.coordinator.follow(asked, deadline_ms)
+    answer = await node.coordinator.wait_for_answer(asked, deadline_ms)
     return codec.json_response(answer)
 
 
@@ -206,7 +206,7 @@
 
 async def cancel_at(node, rack, request_id, lane):
     """Asks the owner of a rack to cancel; None if it is not reached."""
-    owner = node.coordinator.placing.live_owner(rack)
+    owner = node.coordinator.dispatcher.live_owner(rack)
     if owner is None:
         return None
     frame = frames.CancelFrame(serial=0, rack=rack, request_id=request_id)
@@ -226,7 +226,7 @@
     outcome = answers.OUTCOME_BY_STATUS[reply.status]
     request_id = entry.request_id if entry else ""
     if entry is not None and outcome is messages.Outcome.cancelled:
-        node.appender.append_later(
+        node.appender.append_in_background(
             records.Done(request_id=request_id, outcome=outcome)
         )
     return messages.Answer(
