--- a/packages/cicadafold/src/cicadafold/coordination/adoption.py
+++ b/packages/cicadafold/src/cicadafold/coordination/adoption.py
@@ -103,7 +103,7 @@
 
     def adopt_orphans(self):
         """Appends adopt records for the requests that fall to us."""
-        members = self.node.keeper.candidates()
+        members = self.node.rack_claimer.eligible_members()
         state = self.node.tail.state
         self.index_open_requests(state)
         for request_id in list(self.open_ids):
@@ -115,7 +115,7 @@
                 entry, state
             ):
                 continue
-            if self.should_adopt(entry, members):
+            if self.is_preferred_coordinator(entry, members):
                 self.adopting.add(entry.request_id)
                 asyncio.create_task(self.adopt(entry))
 
@@ -137,7 +137,7 @@
             return False
         return self.node.view.is_alive(member)
 
-    def should_adopt(self, entry, members):
+    def is_preferred_coordinator(self, entry, members):
         """Whether this member should adopt a request."""
         near = [m for m in members if m.region == entry.region] or members
         if not near:
--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -128,7 +128,7 @@
         )
         self.own_handle = advising.PeerHandle(
             member=self.member,
-            ask=self.advice.advise,
+            advise=self.advice.advise,
             election_priority=settings.election_priority,
         )
         self.job_service = service.JobService(
@@ -261,7 +261,7 @@
         client = peer_client.PeerClient(peer=peer)
         self.peers[peer] = advising.PeerHandle(
             member=hello.member,
-            ask=client.advise,
+            advise=client.advise,
             election_priority=hello.strength,
             store_age_ms=client.store_age_ms,
             take_over=client.take_over,
--- a/packages/cicadafold/src/cicadafold/dispatch/job_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/job_table.py
@@ -88,8 +88,8 @@
         )
         advice_ms = 0.0
         if rule.advice is not None:
-            each = rule.advice.per_host_ms * ADVISED_WORKERS
-            advice_ms = rule.advice.base_ms + each
+            per_call_ms = rule.advice.per_host_ms * ADVISED_WORKERS
+            advice_ms = rule.advice.base_ms + per_call_ms
         return ranking.objective_ms(rule, chain, advice_ms)
 
     def restore(self, spec, progress, *, cancelled):
