--- a/packages/cicadafold/src/cicadafold/ownership/rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from cicadafold import clock
-from cicadafold.controllog import fold
+from cicadafold.controllog import replay
 from cicadafold.membership import messages as gossip
 from cicadafold.ownership import admission
 from cicadafold.ownership import completion
@@ -330,7 +330,7 @@
     def remove_expired(self):
         """Forgets answers that were kept for long enough."""
         now_ms = clock.monotonic_ms()
-        if now_ms - self.started_ms > fold.DEDUPLICATION_WINDOW_MS:
+        if now_ms - self.started_ms > replay.DEDUPLICATION_WINDOW_MS:
             self.recovered.discard_closed()
         while self.expiries and self.expiries[0][0] <= now_ms:
             _, request = self.expiries.popleft()
