--- a/packages/cicadafold/src/cicadafold/placement/__init__.py
+++ b/packages/cicadafold/src/cicadafold/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Where and in which order work is placed on the workers of a rack."""
+"""Choice of racks and workers for requests, and their order in the queue."""
--- a/packages/cicadafold/src/cicadafold/placement/capacity.py
+++ b/packages/cicadafold/src/cicadafold/placement/capacity.py
@@ -1,18 +1,20 @@
-"""Sizes of tasks and the free capacity of workers."""
+"""Resources that a task needs, and total and free capacity of workers."""
 
 import msgspec
 
 __all__ = ["Capacity", "TaskResources", "resources_of_kind"]
 
+# Absorbs rounding errors in the sums of fractional cores.
 ROUNDING_TOLERANCE_CORES = 1e-6
 
 
 class TaskResources(msgspec.Struct, kw_only=True, frozen=True, gc=False):
-    """What one task needs.
+    """Resources that one task needs.
 
     Attributes:
         cores: Processor cores.
         memory_mb: Memory in megabytes.
+        accelerators: Number of accelerators.
     """
 
     cores: float
@@ -21,7 +23,7 @@
 
 
 def resources_of_kind(kind):
-    """Returns the declared size of one task of a kind."""
+    """Returns the resources that a kind declares for each of its tasks."""
     return TaskResources(
         cores=kind.cores,
         memory_mb=kind.memory_mb,
@@ -32,6 +34,8 @@
 class Capacity:
     """Total and free capacity of one worker.
 
+    Each task occupies one slot besides the resources that it declares.
+
     Examples:
         >>> capacity = Capacity(
         ...     slots=2, cores=4.0, memory_mb=1024, accelerators=0
@@ -56,7 +60,7 @@
 
     @classmethod
     def of_host(cls, host):
-        """Returns the capacity that the platform lists for a host."""
+        """Returns the capacity in the platform's host list, all of it free."""
         return cls(
             slots=host.slots,
             cores=host.cores,
@@ -65,19 +69,19 @@
         )
 
     def reset(self):
-        """Frees everything."""
+        """Marks the whole capacity as free."""
         self.free_slots = self.slots
         self.free_cores = self.cores
         self.free_memory_mb = self.memory_mb
         self.free_accelerators = self.accelerators
 
     def fits(self, resources, *, headroom=0):
-        """Whether a task fits and leaves the headroom free.
+        """Whether a task fits into the free capacity beyond the headroom.
 
         Args:
-            size: Size of the task.
-            headroom: Slots, each with its share of cores and memory, that
-                must stay free.
+            resources: Resources that the task needs.
+            headroom: Number of slots that must stay free, each with its
+                proportional share of the worker's cores and memory.
         """
         if self.free_slots - headroom < 1:
             return False
@@ -91,7 +95,12 @@
         )
 
     def could_fit(self, resources, *, headroom=0):
-        """Whether a task would fit if the worker were empty."""
+        """Whether a task would fit on this worker if it ran nothing else.
+
+        Args:
+            resources: Resources that the task needs.
+            headroom: Number of slots that must stay free, as in ``fits``.
+        """
         share = 1 - headroom / self.slots
         return (
             self.slots > headroom
@@ -102,14 +111,14 @@
         )
 
     def reserve(self, resources):
-        """Takes the size of a task."""
+        """Reserves one slot and the resources of a task."""
         self.free_slots -= 1
         self.free_cores -= resources.cores
         self.free_memory_mb -= resources.memory_mb
         self.free_accelerators -= resources.accelerators
 
     def release(self, resources):
-        """Gives the size of a task back."""
+        """Releases one slot and the resources of a task."""
         self.free_slots += 1
         self.free_cores += resources.cores
         self.free_memory_mb += resources.memory_mb
--- a/packages/cicadafold/src/cicadafold/placement/policies.py
+++ b/packages/cicadafold/src/cicadafold/placement/policies.py
@@ -1,11 +1,12 @@
-"""Placement policies, each chosen by name in the kind's configuration.
+"""Placement policies, which choose one of the workers that a task fits on.
 
-A policy gets the capacities on which the task fits and returns the index
-of one of them.
+The configuration of a kind selects a policy by its registered name. A
+policy receives the capacities of the candidate workers and the resources
+of the task, and returns the index of the chosen worker.
 
 References:
-    A. Ghodsi et al.: Dominant Resource Fairness, NSDI 2011 (the dominant
-    share of a task).
+    A. Ghodsi et al.: Dominant Resource Fairness, NSDI 2011 (the
+    dominant share of a task).
 """
 
 __all__ = ["POLICIES", "choose", "policy"]
@@ -14,7 +15,11 @@
 
 
 def policy(name):
-    """Registers a placement policy under a name."""
+    """Returns a decorator that registers a placement policy.
+
+    Args:
+        name: Name by which a kind's configuration selects the policy.
+    """
 
     def register(function):
         POLICIES[name] = function
@@ -25,13 +30,13 @@
 
 @policy("first_fit")
 def first_fit(capacities, resources):
-    """Takes the first worker."""
+    """Chooses the first worker."""
     return 0
 
 
 @policy("least_loaded")
 def least_loaded(capacities, resources):
-    """Takes the worker with the most free slots, then cores."""
+    """Chooses the worker with the most free slots, then most free cores."""
     indexes = range(len(capacities))
     return max(
         indexes,
@@ -41,7 +46,7 @@
 
 @policy("best_fit")
 def best_fit(capacities, resources):
-    """Takes the worker that is left with the least dominant share free."""
+    """Chooses the worker whose largest remaining free share is smallest."""
     indexes = range(len(capacities))
     return min(
         indexes,
@@ -51,22 +56,28 @@
 
 @policy("shape_match")
 def shape_match(capacities, resources):
-    """Takes the worker whose free shape is most like the task's.
+    """Chooses the worker whose remaining free shares are most balanced.
 
-    The measure is the squared difference between the free shares that are
-    left, so that no resource is stranded when another is used up.
+    The squared deviation of the remaining shares from their mean is
+    minimized, so that no resource stays unused because another one is
+    exhausted.
     """
     indexes = range(len(capacities))
     return min(indexes, key=lambda i: imbalance(capacities[i], resources))
 
 
 def largest_remaining_share(capacity, resources):
-    """Largest free share that is left after placing a task."""
+    """Returns the largest share that is free after placing a task."""
     return max(remaining_shares(capacity, resources))
 
 
 def imbalance(capacity, resources):
-    """Squared differences between the free shares that are left."""
+    """Returns how unevenly capacity is free after placing a task.
+
+    Returns:
+        The sum of squared deviations of the free shares from their mean,
+        then the mean, which decides between equal sums.
+    """
     remaining = remaining_shares(capacity, resources)
     mean = sum(remaining) / len(remaining)
     spread = sum((share - mean) ** 2 for share in remaining)
@@ -74,7 +85,7 @@
 
 
 def remaining_shares(capacity, resources):
-    """Free shares of cores, memory and slots after placing a task."""
+    """Returns the free shares of cores, memory and slots after placing."""
     return (
         (capacity.free_cores - resources.cores) / capacity.cores,
         (capacity.free_memory_mb - resources.memory_mb) / capacity.memory_mb,
@@ -83,15 +94,16 @@
 
 
 def choose(name, candidates, resources):
-    """Chooses among candidates that have a ``capacity``.
+    """Returns the candidate that a policy chooses for a task.
 
     Args:
         name: Name of a registered policy.
-        candidates: Objects on whose capacity the task fits.
-        size: Size of the task.
+        candidates: Workers that the task fits on, as objects with a
+            ``capacity``.
+        resources: Resources that the task needs.
 
     Returns:
-        One of the candidates, or None if there is none.
+        One of the candidates, or None if there are none.
     """
     if not candidates:
         return None
--- a/packages/cicadafold/src/cicadafold/placement/request_queue.py
+++ b/packages/cicadafold/src/cicadafold/placement/request_queue.py
@@ -1,10 +1,11 @@
-"""Waiting work of one rack: an urgent lane and fair shares for the rest.
+"""Queue of the requests that wait for capacity on one rack.
 
-Urgent work is ordered by deadline. Patient work is ordered by weighted
-fair queueing over teams: the team with the least virtual time is served,
-and each start advances its time by the size over its weight. A team that
-has been idle begins at the current virtual time, so that it neither saves
-up nor loses its share.
+Urgent requests are ordered by deadline. Patient requests are ordered by
+weighted fair queueing over teams: the team with the least virtual time is
+served next, and each start advances the team's virtual time by the cost
+of the request divided by the weight of the team. A team that has been
+idle starts at the current virtual time of the queue, so that it neither
+accumulates nor loses a share while idle.
 
 References:
     J. C. R. Bennett, H. Zhang: Hierarchical packet fair queueing
@@ -21,7 +22,7 @@
 
 
 class TeamQueue:
-    """Waiting work of one team, in order of arrival."""
+    """Patient requests of one team, in order of arrival."""
 
     def __init__(self, *, virtual_time):
         self.virtual_time = virtual_time
@@ -29,7 +30,11 @@
 
 
 class RequestQueue:
-    """Waiting work; removing a work is O(1), as it is only marked."""
+    """Urgent and patient requests that wait on one rack.
+
+    Removal takes constant time: it only clears the request's ``queued``
+    mark. A later peek drops such a request once it is first in its queue.
+    """
 
     def __init__(self):
         self.urgent = []
@@ -43,7 +48,7 @@
         return self.urgent_count + self.patient_count
 
     def push(self, request):
-        """Adds waiting work to its lane."""
+        """Adds a request to the queue of its lane."""
         request.queued = True
         if request.kind.lane is messages.Lane.urgent:
             entry = (request.deadline_ms, next(self.arrival_numbers), request)
@@ -58,7 +63,7 @@
         self.patient_count += 1
 
     def remove(self, request):
-        """Marks waiting work as gone."""
+        """Removes a request that is queued."""
         request.queued = False
         if request.kind.lane is messages.Lane.urgent:
             self.urgent_count -= 1
@@ -66,7 +71,7 @@
             self.patient_count -= 1
 
     def peek_urgent(self):
-        """Returns the urgent work with the nearest deadline, or None."""
+        """Returns the urgent request with the earliest deadline, or None."""
         while self.urgent:
             request = self.urgent[0][2]
             if request.queued:
@@ -75,10 +80,11 @@
         return None
 
     def peek_patient(self, eligible):
-        """Returns the next patient work by fair share, or None.
+        """Returns the next patient request by fair share, or None.
 
         Args:
-            eligible: Function that tells whether a team may start work.
+            eligible: Function that takes the name of a team and returns
+                whether the team may start another request.
         """
         best = None
         for name in list(self.teams):
@@ -94,12 +100,22 @@
         return best.requests[0] if best else None
 
     def remove_idle_team(self, name, team):
-        """Forgets a team without work once its share is used."""
+        """Removes a team without requests if its virtual time has passed.
+
+        A team that is ahead of the queue's virtual time stays, so that it
+        cannot avoid the cost of past starts by becoming idle.
+        """
         if team.virtual_time <= self.virtual_time:
             del self.teams[name]
 
     def charge_team(self, request, *, cost, weight):
-        """Advances the virtual time of a team whose work is started."""
+        """Advances the virtual time of the team whose request starts.
+
+        Args:
+            request: The request that starts.
+            cost: Cost of the request in cores, scaled by its kind's worth.
+            weight: Weight of the team; a larger one gives a larger share.
+        """
         team = self.teams.get(request.team)
         if team is None:
             return
--- a/packages/cicadafold/src/cicadafold/placement/routing.py
+++ b/packages/cicadafold/src/cicadafold/placement/routing.py
@@ -1,8 +1,8 @@
-"""Which rack a request goes to first, and where it may go instead.
+"""Choice of the rack for a request, and of another rack if that is full.
 
-Every request id has a home rack in the region of its origin. The owner of
-the home rack is the one place where duplicates of the id meet, so that
-finding them needs no other store.
+Every request id is assigned to a rack in the region of its origin by
+rendezvous hashing. Duplicates of a request therefore reach the same owner,
+which detects them without a shared store.
 
 References:
     M. Mitzenmacher: The power of two choices in randomized load
@@ -24,7 +24,14 @@
 
 
 class Routing:
-    """Chooses racks from the host list and the gossiped digests."""
+    """Chooses racks by the host list and the rack digests from gossip.
+
+    Attributes:
+        assigned_cache: Rack names, best first, by region and hash bucket
+            of the request id.
+        fit_cache: Whether a rack could hold a kind, by rack, resources of
+            the kind and headroom.
+    """
 
     def __init__(self, *, hosts, view, region):
         self.hosts = hosts
@@ -36,106 +43,128 @@
         self.fit_cache = {}
 
     def refresh(self):
-        """Forgets what was computed from an older host list."""
+        """Clears the caches if the host list has changed."""
         if self.hosts_version != self.hosts.version:
             self.hosts_version = self.hosts.version
             self.assigned_cache = {}
             self.fit_cache = {}
 
-    def racks_of(self, region):
-        """Returns the racks of a region, or all if it has none."""
+    def racks_in_region(self, region):
+        """Returns the racks of a region, or all racks if it has none."""
         racks = list(self.hosts.racks.values())
-        near = [rack for rack in racks if rack.region == region]
-        return near or racks
+        same_region = [rack for rack in racks if rack.region == region]
+        return same_region or racks
 
     def assigned_racks(self, request_id, region):
-        """Returns the home racks of a request, best first.
+        """Returns the names of the racks for a request, assigned rack first.
 
         Args:
             request_id: Identifier of the request.
-            region: Region of the request's origin.
+            region: Region of the request's origin; if empty, the region of
+                this process.
         """
         self.refresh()
         bucket = zlib.crc32(request_id.encode()) % REQUEST_BUCKETS
         key = (region or self.region, bucket)
-        order = self.assigned_cache.get(key)
-        if order is None:
-            order = sorted(
-                (rack.name for rack in self.racks_of(key[0])),
+        ranked_racks = self.assigned_cache.get(key)
+        if ranked_racks is None:
+            ranked_racks = sorted(
+                (rack.name for rack in self.racks_in_region(key[0])),
                 key=lambda rack: assignment.rendezvous_weight(bucket, rack),
             )
-            self.assigned_cache[key] = order
-        return order
+            self.assigned_cache[key] = ranked_racks
+        return ranked_racks
 
     def could_fit(self, rack, kind, headroom):
-        """Whether an empty rack could hold a request of a kind."""
+        """Whether a rack without running tasks could hold a request.
+
+        Args:
+            rack: Name of the rack.
+            kind: Kind of the request.
+            headroom: Number of slots on each worker that must stay free.
+        """
         self.refresh()
         key = (rack, kind.name, kind.cores, kind.memory_mb, headroom)
         key = (*key, kind.accelerators, kind.tasks)
-        known = self.fit_cache.get(key)
-        if known is None:
-            entry = self.hosts.racks[rack]
-            known = entry.could_fit(kind, headroom=headroom)
-            self.fit_cache[key] = known
-        return known
+        fits = self.fit_cache.get(key)
+        if fits is None:
+            rack_entry = self.hosts.racks[rack]
+            fits = rack_entry.could_fit(kind, headroom=headroom)
+            self.fit_cache[key] = fits
+        return fits
 
     def candidates(self, request_id, region, kind, headroom):
-        """Yields the racks that could hold a request, home first.
+        """Yields the names of racks that could hold a request, best first.
+
+        Racks of other regions are yielded only if no rack in the region of
+        origin could hold the request.
 
-        Racks of other regions follow only if none of the region fits.
+        Args:
+            request_id: Identifier of the request.
+            region: Region of the request's origin.
+            kind: Kind of the request.
+            headroom: Number of slots on each worker that must stay free.
         """
-        near = self.assigned_racks(request_id, region)
-        found = False
-        for rack in near:
+        same_region = self.assigned_racks(request_id, region)
+        found_in_region = False
+        for rack in same_region:
             if self.could_fit(rack, kind, headroom):
-                found = True
+                found_in_region = True
                 yield rack
-        if found:
+        if found_in_region:
             return
-        for rack in sorted(set(self.hosts.racks) - set(near)):
+        for rack in sorted(set(self.hosts.racks) - set(same_region)):
             if self.could_fit(rack, kind, headroom):
                 yield rack
 
     def find_redirect_rack(
         self, own_rack, kind, *, wait_ms, price_ms, headroom
     ):
-        """Returns a rack that has room now, or None.
+        """Returns a rack with free slots for a request, or None.
 
-        Another region is considered only when waiting here costs more
-        than the price of the link.
+        Racks of other regions are considered only if the region has none
+        with free slots and the wait exceeds the cross-region price. Of the
+        racks found, two are sampled at random and the one with more usable
+        slots is chosen; its digest is reduced by the slots that the request
+        takes.
 
         Args:
-            own_rack: Rack that is full.
+            own_rack: Name of the rack that is full.
             kind: Kind of the request.
-            wait_ms: Waiting time at the full rack.
-            price_ms: Waiting time that another region must save.
-            headroom: Slots on each worker that the kind leaves free.
+            wait_ms: Expected wait at the full rack in milliseconds.
+            price_ms: Wait in milliseconds above which a redirect to
+                another region is worthwhile.
+            headroom: Number of slots on each worker that must stay free.
         """
         own = self.hosts.racks.get(own_rack)
         region = own.region if own else self.region
-        near = []
-        far = []
+        same_region = []
+        other_regions = []
         for rack, digest in self.sample_digests():
-            entry = self.hosts.racks.get(rack)
-            if rack == own_rack or entry is None:
+            rack_entry = self.hosts.racks.get(rack)
+            if rack == own_rack or rack_entry is None:
                 continue
             if usable_slots(digest, kind) < kind.tasks:
                 continue
             if not self.could_fit(rack, kind, headroom):
                 continue
-            (near if entry.region == region else far).append(rack)
-        found = near or (far if wait_ms > price_ms else [])
-        if not found:
+            (
+                same_region if rack_entry.region == region else other_regions
+            ).append(rack)
+        eligible = same_region or (other_regions if wait_ms > price_ms else [])
+        if not eligible:
             return None
-        picked = self.rng.sample(found, min(MAX_SAMPLED_RACKS, len(found)))
+        sampled = self.rng.sample(
+            eligible, min(MAX_SAMPLED_RACKS, len(eligible))
+        )
         best = max(
-            picked, key=lambda r: usable_slots(self.view.digests[r], kind)
+            sampled, key=lambda r: usable_slots(self.view.digests[r], kind)
         )
         deduct_slots(self.view.digests[best], kind)
         return best
 
     def sample_digests(self):
-        """Returns the digests of a bounded number of racks."""
+        """Returns all digests, or a random sample if there are too many."""
         digests = list(self.view.digests.items())
         if len(digests) <= MAX_SAMPLED_DIGESTS:
             return digests
@@ -143,13 +172,17 @@
 
 
 def usable_slots(digest, kind):
-    """Returns the slots that a digest shows free for a kind."""
+    """Returns how many slots a digest reports free for the lane of a kind."""
     if kind.lane is messages.Lane.urgent:
         return digest.free_slots
     return digest.patient_slots
 
 
 def deduct_slots(digest, kind):
-    """Counts a redirected request against the digest."""
+    """Deducts the slots of a redirected request from a digest.
+
+    Otherwise a burst of requests would all be redirected to the same rack
+    until its owner publishes the next digest.
+    """
     digest.free_slots -= kind.tasks
     digest.patient_slots -= kind.tasks
--- a/packages/cicadafold/src/cicadafold/placement/tests/test_policies.py
+++ b/packages/cicadafold/src/cicadafold/placement/tests/test_policies.py
@@ -1,4 +1,4 @@
-"""Policies never choose a worker that cannot hold the task."""
+"""Tests of the placement policies and of the headroom of workers."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -28,7 +28,7 @@
     st.sampled_from(sorted(policies.POLICIES)),
     st.lists(task_resources, max_size=60),
 )
-def test_no_policy_overfills(name, tasks):
+def test_no_policy_exceeds_the_capacity(name, tasks):
     workers = [Candidate(16.0, 4096) for _ in range(3)]
     for resources in tasks:
         fitting = [w for w in workers if w.capacity.fits(resources)]
@@ -41,7 +41,7 @@
         assert worker.capacity.free_slots >= 0
 
 
-def test_headroom_keeps_a_share_of_every_resource():
+def test_headroom_reserves_a_share_of_every_resource():
     worker = Candidate(16.0, 4096)
     resources = capacity.TaskResources(cores=2.0, memory_mb=512)
     count = 0
@@ -56,7 +56,7 @@
     ("name", "expected"),
     [("first_fit", 0), ("least_loaded", 1), ("best_fit", 2)],
 )
-def test_choice(name, expected):
+def test_policy_chooses_expected_worker(name, expected):
     workers = [Candidate(16.0, 4096) for _ in range(3)]
     workers[0].capacity.reserve(capacity.TaskResources(cores=2, memory_mb=256))
     workers[2].capacity.reserve(
--- a/packages/cicadafold/src/cicadafold/placement/tests/test_request_queue.py
+++ b/packages/cicadafold/src/cicadafold/placement/tests/test_request_queue.py
@@ -1,4 +1,4 @@
-"""Urgent work passes patient work; teams share by weight."""
+"""Tests of the order of urgent requests and of the shares of teams."""
 
 import collections
 
@@ -27,11 +27,11 @@
     )
 
 
-def anyone(team):
+def accept_any_team(team):
     return True
 
 
-def test_urgent_work_is_seen_behind_much_patient_work():
+def test_urgent_request_is_found_behind_many_patient_requests():
     queue = request_queue.RequestQueue()
     for number in range(10_000):
         queue.push(make_request(f"p{number}"))
@@ -40,7 +40,7 @@
     assert queue.peek_urgent() is urgent
 
 
-def test_urgent_work_is_ordered_by_deadline():
+def test_urgent_requests_are_ordered_by_deadline():
     queue = request_queue.RequestQueue()
     late = make_request("late", lane="urgent", deadline_ms=20.0)
     early = make_request("early", lane="urgent", deadline_ms=10.0)
@@ -51,11 +51,11 @@
     assert queue.peek_urgent() is late
 
 
-def drain(queue, weights, count):
-    """Starts a number of patient works and counts them by team."""
+def start_requests(queue, weights, count):
+    """Starts ``count`` patient requests and counts them by team."""
     started = collections.Counter()
     for _ in range(count):
-        request = queue.peek_patient(anyone)
+        request = queue.peek_patient(accept_any_team)
         queue.remove(request)
         queue.charge_team(request, cost=1.0, weight=weights[request.team])
         started[request.team] += 1
@@ -67,23 +67,23 @@
     for number in range(100):
         queue.push(make_request(f"a{number}", team="a"))
         queue.push(make_request(f"b{number}", team="b"))
-    started = drain(queue, {"a": 3, "b": 1}, 80)
+    started = start_requests(queue, {"a": 3, "b": 1}, 80)
     assert abs(started["a"] - 60) <= 1
 
 
-def test_idle_share_is_borrowed_and_given_back():
+def test_idle_share_goes_to_other_teams_until_the_team_returns():
     queue = request_queue.RequestQueue()
     weights = {"a": 1, "b": 1}
     for number in range(100):
         queue.push(make_request(f"a{number}", team="a"))
-    assert drain(queue, weights, 40) == {"a": 40}
+    assert start_requests(queue, weights, 40) == {"a": 40}
     for number in range(40):
         queue.push(make_request(f"b{number}", team="b"))
-    started = drain(queue, weights, 40)
+    started = start_requests(queue, weights, 40)
     assert abs(started["a"] - started["b"]) <= 2
 
 
-def test_team_over_quota_is_passed_over():
+def test_ineligible_team_is_skipped():
     queue = request_queue.RequestQueue()
     queue.push(make_request("a", team="a"))
     queue.push(make_request("b", team="b"))
@@ -92,7 +92,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("ab"), st.booleans()), max_size=40))
-def test_removed_work_is_never_returned(steps):
+def test_removed_request_is_never_returned(steps):
     queue = request_queue.RequestQueue()
     waiting = []
     for number, (team, remove) in enumerate(steps):
@@ -103,7 +103,7 @@
             queue.remove(waiting.pop(0))
     assert len(queue) == len(waiting)
     served = []
-    while request := queue.peek_patient(anyone):
+    while request := queue.peek_patient(accept_any_team):
         queue.remove(request)
         queue.charge_team(request, cost=1.0, weight=1)
         served.append(request.request_id)
