--- a/packages/cicadafold/src/cicadafold/membership/__init__.py
+++ b/packages/cicadafold/src/cicadafold/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which members live: gossip over the members that the log lists."""
+"""Failure detection by gossip among the members in the control log."""
--- a/packages/cicadafold/src/cicadafold/membership/gossip.py
+++ b/packages/cicadafold/src/cicadafold/membership/gossip.py
@@ -1,7 +1,8 @@
-"""Exchanges heartbeats and digests with one random peer a period.
+"""Periodic exchange of heartbeats and rack digests with random peers.
 
-The cost for each member is the same however many there are: one exchange
-begun and about one answered a period.
+The cost for each member does not depend on the number of members: in each
+period it starts one exchange and answers about one. Only peers that are
+silent or may be unreachable get further exchanges.
 """
 
 import asyncio
@@ -16,6 +17,7 @@
 __all__ = ["Gossiper", "PERIOD_S"]
 
 PERIOD_S = 0.6
+# Seconds of silence after which a peer is contacted out of turn.
 DIRECT_EXCHANGE_AFTER_S = 2.0
 PROBE_ATTEMPTS = 2
 MAX_DIGESTS = 8
@@ -29,7 +31,20 @@
 
 
 class Gossiper:
-    """Runs the exchanges of one member."""
+    """Runs the exchanges of one member.
+
+    Attributes:
+        view: This member's ``MembershipView``.
+        resolve: Function that maps an address in the control state to the
+            one to connect to.
+        own_digests: Function that returns the digests of the racks that
+            this member owns.
+        round_order: Names of the members that are still to be contacted
+            in the current round.
+        logged_alive: Names of the members last logged as alive.
+        wake_event: Set to end the current period early.
+        exchanges: Task of the last exchange with each peer, by name.
+    """
 
     def __init__(self, *, view, session, resolve, token, own_digests):
         self.view = view
@@ -44,10 +59,10 @@
         self.exchanges = {}
 
     async def run(self):
-        """Begins an exchange each period, and with silent members.
+        """Starts exchanges with the next and the most silent peer, forever.
 
-        No exchange waits for another: a peer behind a cut link must not
-        keep this member from hearing of the others.
+        These exchanges run as separate tasks, so that a peer that cannot
+        be reached does not delay news from the others.
         """
         while True:
             self.view.advance_heartbeat()
@@ -59,14 +74,14 @@
             await self.wait()
 
     def start_exchange(self, peer):
-        """Begins an exchange unless one with this peer is under way."""
+        """Starts an exchange unless one with this peer is still running."""
         running = self.exchanges.get(peer.name)
         if running is None or running.done():
             task = asyncio.create_task(self.exchange(peer))
             self.exchanges[peer.name] = task
 
     async def wait(self):
-        """Waits for the next period, or until a member is doubted."""
+        """Waits about one period, or until a probe is scheduled."""
         period_s = PERIOD_S * self.rng.uniform(0.8, 1.2)
         try:
             async with asyncio.timeout(period_s):
@@ -76,12 +91,12 @@
         self.wake_event.clear()
 
     def schedule_probe(self, member):
-        """Probes a member soon, after its link broke."""
+        """Schedules an immediate probe of a member whose link broke."""
         self.view.members_to_probe.add(member.name)
         self.wake_event.set()
 
     async def run_probes(self):
-        """Probes the members that may be gone."""
+        """Probes the members that may be unreachable."""
         members = self.view.state().members
         names, self.view.members_to_probe = self.view.members_to_probe, set()
         suspected = [members.get(name) for name in sorted(names)]
@@ -95,7 +110,10 @@
             )
 
     def next_peer(self):
-        """Returns the next peer of a shuffled round, or None."""
+        """Returns the next peer of the round; None if the round has ended.
+
+        The next round then has all members in a new random order.
+        """
         members = self.view.state().members
         while self.round_order:
             member = members.get(self.round_order.pop())
@@ -106,9 +124,11 @@
         return None
 
     def longest_silent_peer(self):
-        """Returns the live peer that has been silent for the longest.
+        """Returns the live peer with the longest silence, or None.
 
-        It is asked directly before it comes to be suspected.
+        Only peers that have been silent for ``DIRECT_EXCHANGE_AFTER_S``
+        are considered. A direct exchange prevents that a live peer counts
+        as dead only because no relayed heartbeat arrived in time.
         """
         silent = [
             member
@@ -119,17 +139,21 @@
         return max(silent, key=self.view.silence_s, default=None)
 
     def is_peer(self, member):
-        """Whether an entry is another member that has not left."""
+        """Whether a member entry is another member that has not left."""
         if member is None or member.left:
             return False
         return not self.view.is_self(member)
 
     def build_message(self, heartbeats):
-        """Builds a message; its size has a bound at any size of the cell.
+        """Builds a message whose size does not grow with the cell.
+
+        If there are too many other heartbeats or recent digests, a random
+        sample of them is sent. All of them still reach every member within
+        a few periods.
 
-        The first pulse is this member's own. Of the others, and of the
-        figures that changed lately, a random few are told, which spread
-        over the members within a few periods.
+        Args:
+            heartbeats: Heartbeats to send. The first one, usually that of
+                this member, is always included.
         """
         if len(heartbeats) > MAX_HEARTBEATS:
             heartbeats = [
@@ -146,7 +170,11 @@
         )
 
     async def exchange(self, peer):
-        """Tells a peer what is known and takes in its answer."""
+        """Sends a message to a peer and merges its reply into the view.
+
+        An answer marks the peer as alive, a refused connection as dead, and
+        other connection errors count as resets. A time-out changes nothing.
+        """
         url = f"http://{self.resolve(peer.address)}/peer/gossip"
         timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
         try:
@@ -166,19 +194,33 @@
         except (aiohttp.ClientError, OSError):
             self.view.record_reset(peer)
         except msgspec.DecodeError:
-            LOG.warning("%s sent gossip that cannot be read.", peer.name)
+            LOG.warning(
+                "The gossip reply of %s cannot be decoded and is ignored.",
+                peer.name,
+            )
 
     def handle_message(self, body):
-        """Takes in a peer's message and returns the answer's bytes."""
+        """Merges a peer's message into the view and returns the reply.
+
+        Args:
+            body: Encoded message of the peer.
+
+        Returns:
+            The encoded reply, with heartbeats that the peer did not have.
+        """
         gossip = decode(body)
         self.view.merge(gossip)
         return encode(self.build_message(self.view.newer_heartbeats(gossip)))
 
     def log_changes(self):
-        """Logs the members that appeared or went."""
+        """Logs the members that became alive or dead since the last call."""
         names = {member.name for member in self.view.alive_members()}
         for name in sorted(names - self.logged_alive):
-            LOG.info("%s is alive.", name)
+            LOG.info("Member %s counts as alive.", name)
         for name in sorted(self.logged_alive - names):
-            LOG.warning("%s is gone.", name)
+            LOG.warning(
+                "Member %s has left or counts as dead: no sign of life within "
+                "the suspicion time, or its address refused connections.",
+                name,
+            )
         self.logged_alive = names
--- a/packages/cicadafold/src/cicadafold/membership/messages.py
+++ b/packages/cicadafold/src/cicadafold/membership/messages.py
@@ -4,11 +4,16 @@
 
 import msgspec
 
-__all__ = ["Digest", "HeartbeatFlags", "Gossip", "Heartbeat"]
+__all__ = ["Digest", "Gossip", "Heartbeat", "HeartbeatFlags"]
 
 
 class HeartbeatFlags(enum.IntFlag):
-    """What a pulse says of its member besides its counter."""
+    """State of a member that its heartbeat reports.
+
+    Attributes:
+        DRAINING: The member stops new work before it leaves.
+        UNREACHABLE: The sender could not connect to the member.
+    """
 
     NONE = 0
     DRAINING = 1
@@ -19,10 +24,10 @@
     """Heartbeat counter of one incarnation of a member.
 
     Attributes:
-        joined_at: Offset of the member's join record, which names both
-            the member and its incarnation.
-        flags: Whether the member drains, and whether the sender has
-            found it gone.
+        joined_at: Offset of the member's join record in the control log,
+            which identifies both the member and its incarnation.
+        counter: Rises by one with each gossip round of the member.
+        flags: Combination of ``HeartbeatFlags``.
     """
 
     joined_at: int
@@ -31,13 +36,17 @@
 
 
 class Digest(msgspec.Struct, kw_only=True, array_like=True, gc=False):
-    """Free capacity of a rack, as its owner last saw it.
+    """Free capacity of a rack, as its owner last reported it.
 
     Attributes:
-        serial: Rises with each new figure of one term.
-        free_slots: Slots that urgent work may use.
-        patient_slots: Slots that patient work may use.
-        wait_ms: Waiting time of patient work that arrives now.
+        rack: Name of the rack.
+        term: Term of the owner that reports.
+        serial: Rises with each new digest of one term.
+        free_slots: Free slots that urgent requests may use.
+        patient_slots: Free slots that patient requests may use.
+        queued: Number of requests in the queue of the rack.
+        wait_ms: Expected wait of a patient request that arrives now, in
+            milliseconds.
     """
 
     rack: str
@@ -50,7 +59,13 @@
 
 
 class Gossip(msgspec.Struct, kw_only=True, array_like=True):
-    """What one member tells another about all of them."""
+    """Message that one member sends to another.
+
+    Attributes:
+        sender: Name of the sending member.
+        heartbeats: Heartbeats of the sender and of other members.
+        digests: Digests of racks that changed recently.
+    """
 
     sender: str
     heartbeats: list[Heartbeat]
--- a/packages/cicadafold/src/cicadafold/membership/tests/test_gossip.py
+++ b/packages/cicadafold/src/cicadafold/membership/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""The size of a gossip message has a bound, and news still spread."""
+"""Tests of the size of gossip messages and the spread of heartbeats."""
 
 import asyncio
 import random
@@ -13,9 +13,11 @@
 
 
 def make_gossiper(name, state):
-    seen = view.MembershipView(name=name, incarnation="i", state=lambda: state)
+    membership_view = view.MembershipView(
+        name=name, incarnation="i", state=lambda: state
+    )
     return gossip.Gossiper(
-        view=seen,
+        view=membership_view,
         session=None,
         resolve=None,
         token="",
@@ -40,13 +42,13 @@
 
 
 @pytest.mark.parametrize("count", [7, 24, 100])
-def test_messages_have_a_bound(count):
+def test_message_size_is_bounded(count):
     state = make_state(count)
-    made = make_gossiper("m0", state)
+    gossiper = make_gossiper("m0", state)
     for i in range(1, count):
-        made.view.peer_record(state.members[f"m{i}"]).counter = 10_000
+        gossiper.view.peer_record(state.members[f"m{i}"]).counter = 10_000
     for i in range(400):
-        made.view.merge_digest(
+        gossiper.view.merge_digest(
             messages.Digest(
                 rack=f"rack-{i}",
                 term=100_000,
@@ -57,12 +59,15 @@
                 wait_ms=0,
             )
         )
-    message = made.build_message(made.view.heartbeats())
+    message = gossiper.build_message(gossiper.view.heartbeats())
     assert len(msgspec.json.encode(message)) < 1024
 
 
-def test_counters_spread_to_all_members():
-    """Within the suspicion time every counter has advanced everywhere."""
+def test_heartbeats_spread_to_all_members():
+    """Heartbeats of nearly all members reach all within two suspicion times.
+
+    Each member must have a counter of at least 22 of its 23 peers.
+    """
     random.seed(3)
     state = make_state(24)
     members = [make_gossiper(name, state) for name in state.members]
@@ -76,42 +81,46 @@
             )
             member.view.merge(gossip.decode(peer.handle_message(body)))
     for member in members:
-        heard = sum(r.counter > 0 for r in member.view.peers.values())
-        assert heard >= 22
+        known_peers = sum(r.counter > 0 for r in member.view.peers.values())
+        assert known_peers >= 22
 
 
 def test_silent_peer_does_not_keep_others_from_being_heard():
-    """Failed before: an exchange with a cut-off peer held up the rest."""
+    """Exchanges with unreachable peers do not block those with others.
+
+    Guards against a regression in which each exchange waited for the one
+    before it.
+    """
 
-    async def go():
+    async def run():
         state = make_state(4)
-        made = make_gossiper("m0", state)
-        asked = []
+        gossiper = make_gossiper("m0", state)
+        contacted = []
 
         async def exchange(peer):
-            asked.append(peer.name)
+            contacted.append(peer.name)
             if peer.name in ("m1", "m2"):
                 await asyncio.sleep(3600)
 
-        made.exchange = exchange
-        task = asyncio.create_task(made.run())
+        gossiper.exchange = exchange
+        task = asyncio.create_task(gossiper.run())
         async with asyncio.timeout(20):
-            while asked.count("m3") < 3:
+            while contacted.count("m3") < 3:
                 await asyncio.sleep(0.05)
         task.cancel()
-        return asked
+        return contacted
 
-    asked = asyncio.run(go())
-    assert asked.count("m1") <= 1 and asked.count("m2") <= 1
+    contacted = asyncio.run(run())
+    assert contacted.count("m1") <= 1 and contacted.count("m2") <= 1
 
 
-def test_record_on_the_log_shows_that_its_writer_lives():
+def test_log_append_is_a_sign_of_life_of_its_writer():
     state = make_state(2)
-    made = make_gossiper("m0", state)
+    gossiper = make_gossiper("m0", state)
     member = state.members["m1"]
-    made.view.peer_record(member).last_alive_s -= view.SUSPICION_S + 1.0
-    assert not made.view.is_alive(member)
-    made.view.record_log_append("m1", "other-incarnation")
-    assert not made.view.is_alive(member)
-    made.view.record_log_append("m1", "i")
-    assert made.view.is_alive(member)
+    gossiper.view.peer_record(member).last_alive_s -= view.SUSPICION_S + 1.0
+    assert not gossiper.view.is_alive(member)
+    gossiper.view.record_log_append("m1", "other-incarnation")
+    assert not gossiper.view.is_alive(member)
+    gossiper.view.record_log_append("m1", "i")
+    assert gossiper.view.is_alive(member)
--- a/packages/cicadafold/src/cicadafold/membership/tests/test_view.py
+++ b/packages/cicadafold/src/cicadafold/membership/tests/test_view.py
@@ -1,4 +1,4 @@
-"""Who counts as alive, and what hearsay can and cannot do."""
+"""Tests of when a member counts as alive, and of relayed heartbeats."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    """A clock that a test advances itself."""
+    """Returns a clock that replaces the view's and is set by the test."""
 
     class Clock:
         now_s = 1000.0
@@ -20,14 +20,14 @@
         def monotonic(self):
             return self.now_s
 
-    made = Clock()
-    monkeypatch.setattr(view, "time", made)
-    return made
+    fake_clock = Clock()
+    monkeypatch.setattr(view, "time", fake_clock)
+    return fake_clock
 
 
 @pytest.fixture
-def seen(clock):
-    """The view of member a on members a and b."""
+def membership_view(clock):
+    """Returns member a's view of members a and b."""
     state = control_state.ControlState(
         members={
             name: control_state.MemberEntry(
@@ -45,53 +45,62 @@
 
 
 def heartbeat_gossip(counter, **fields):
-    found = messages.Heartbeat(
+    heartbeat = messages.Heartbeat(
         joined_at=JOINED_AT["b"], counter=counter, **fields
     )
-    return messages.Gossip(sender="c", heartbeats=[found], digests=[])
+    return messages.Gossip(sender="c", heartbeats=[heartbeat], digests=[])
 
 
-def test_silent_member_is_suspected_in_time(seen, clock):
-    member = seen.state().members["b"]
-    assert seen.is_alive(member)
+def test_silent_member_counts_as_dead_after_the_suspicion_time(
+    membership_view, clock
+):
+    member = membership_view.state().members["b"]
+    assert membership_view.is_alive(member)
     clock.now_s += view.SUSPICION_S + 0.1
-    assert not seen.is_alive(member)
+    assert not membership_view.is_alive(member)
 
 
-def test_old_counters_do_not_revive_a_refused_member(seen, clock):
-    """Failed before: counters from before the death went round."""
-    member = seen.state().members["b"]
-    seen.merge(heartbeat_gossip(5))
-    seen.record_refusal(member)
+def test_old_heartbeats_do_not_revive_a_refused_member(membership_view, clock):
+    """A refused member stays dead while old heartbeats are still relayed.
+
+    Guards against a regression in which a heartbeat sent before the member
+    ended, but relayed after its address refused a connection, marked the
+    member as alive.
+    """
+    member = membership_view.state().members["b"]
+    membership_view.merge(heartbeat_gossip(5))
+    membership_view.record_refusal(member)
     clock.now_s += 0.5
-    seen.merge(heartbeat_gossip(6))
-    assert not seen.is_alive(member)
+    membership_view.merge(heartbeat_gossip(6))
+    assert not membership_view.is_alive(member)
     clock.now_s += view.SUSPICION_S + 1.0
-    seen.merge(heartbeat_gossip(7))
-    assert seen.is_alive(member)
+    membership_view.merge(heartbeat_gossip(7))
+    assert membership_view.is_alive(member)
 
 
-def test_one_reset_is_an_accident_and_two_are_not(seen):
-    member = seen.state().members["b"]
-    seen.record_reset(member)
-    assert seen.is_alive(member)
-    seen.record_reset(member)
-    assert not seen.is_alive(member)
+def test_member_counts_as_dead_after_two_resets(membership_view):
+    member = membership_view.state().members["b"]
+    membership_view.record_reset(member)
+    assert membership_view.is_alive(member)
+    membership_view.record_reset(member)
+    assert not membership_view.is_alive(member)
 
 
-def test_hearsay_of_a_death_only_raises_doubt(seen):
-    member = seen.state().members["b"]
-    seen.merge(
+def test_relayed_unreachable_flag_only_causes_a_probe(membership_view):
+    member = membership_view.state().members["b"]
+    membership_view.merge(
         heartbeat_gossip(3, flags=int(messages.HeartbeatFlags.UNREACHABLE))
     )
-    assert seen.is_alive(member)
-    assert seen.members_to_probe == {"b"}
+    assert membership_view.is_alive(member)
+    assert membership_view.members_to_probe == {"b"}
 
 
-def test_other_incarnation_is_ignored(seen, clock):
+def test_heartbeat_of_another_incarnation_is_ignored(membership_view, clock):
     clock.now_s += view.SUSPICION_S + 0.1
-    seen.peer_record(seen.state().members["b"]).last_alive_s = 0.0
+    membership_view.peer_record(
+        membership_view.state().members["b"]
+    ).last_alive_s = 0.0
     gossip = heartbeat_gossip(9)
     gossip.heartbeats[0].joined_at = 77
-    seen.merge(gossip)
-    assert not seen.is_alive(seen.state().members["b"])
+    membership_view.merge(gossip)
+    assert not membership_view.is_alive(membership_view.state().members["b"])
--- a/packages/cicadafold/src/cicadafold/membership/view.py
+++ b/packages/cicadafold/src/cicadafold/membership/view.py
@@ -1,8 +1,9 @@
-"""A member's view of which members live.
+"""One member's view of which members are alive.
 
-A member counts as dead when its heartbeat counter has not risen for the
-suspicion time, or when its address refused a connection. Both are hints:
-what keeps two owners of a rack apart is the fence at the targets.
+A member counts as dead when it has given no sign of life for the suspicion
+time, or when its address refused a connection. Both signs may be wrong:
+that a rack has only one effective owner is ensured by the fence at the
+targets, not by this view.
 
 References:
     R. van Renesse, Y. Minsky, M. Hayden: A gossip-style failure detection
@@ -15,7 +16,9 @@
 
 __all__ = ["MembershipView", "SUSPICION_S"]
 
+# Seconds without a sign of life after which a member counts as dead.
 SUSPICION_S = 3.0
+# Seconds for which a changed digest is passed on to other members.
 DIGEST_FRESH_S = 2.5
 RESETS_UNTIL_REFUSED = 2
 
@@ -23,7 +26,17 @@
 
 
 class PeerRecord:
-    """What is known of one incarnation of a member."""
+    """What this process knows about one incarnation of a member.
+
+    Attributes:
+        incarnation: Incarnation of the member.
+        counter: Highest heartbeat counter received; 0 if none was.
+        last_alive_s: Monotonic time of the last sign of life, in seconds.
+        refused_at_s: Monotonic time in seconds at which the member's
+            address refused a connection; None if it counts as reachable.
+        consecutive_resets: Connections reset since the last answer.
+        draining: Whether the member has announced its planned stop.
+    """
 
     def __init__(self, *, incarnation, now_s):
         self.incarnation = incarnation
@@ -35,10 +48,18 @@
 
 
 class MembershipView:
-    """Liveness of the members that the folded state lists.
+    """Liveness of the members that the control state lists.
 
     Attributes:
-        doubted: Members that another one has found gone; they are probed.
+        state: Function that returns the current control state.
+        counter: Heartbeat counter of this member.
+        draining: Whether this member drains.
+        peers: Records of other members, by name.
+        digests: Newest digest of each rack, by name of the rack.
+        digest_changed_s: Monotonic time in seconds at which the digest of
+            a rack was received, by name of the rack.
+        members_to_probe: Names of members that may be unreachable, because
+            a link to them broke or another member reported it.
     """
 
     def __init__(self, *, name, incarnation, state):
@@ -54,22 +75,22 @@
 
     def peer_record(self, member):
         """Returns the record of a member's current incarnation."""
-        found = self.peers.get(member.name)
-        if found is None or found.incarnation != member.incarnation:
-            found = PeerRecord(
+        result = self.peers.get(member.name)
+        if result is None or result.incarnation != member.incarnation:
+            result = PeerRecord(
                 incarnation=member.incarnation, now_s=time.monotonic()
             )
-            self.peers[member.name] = found
-        return found
+            self.peers[member.name] = result
+        return result
 
     def is_self(self, member):
-        """Whether an entry describes this process."""
+        """Whether an entry is this incarnation of this process."""
         return (
             member.name == self.name and member.incarnation == self.incarnation
         )
 
     def is_alive(self, member):
-        """Whether a member of the folded state counts as alive."""
+        """Whether a member of the control state counts as alive."""
         if member is None or member.left:
             return False
         if self.is_self(member):
@@ -97,14 +118,15 @@
         return self.is_alive(member)
 
     def record_refusal(self, member):
-        """Notes that a member's address refused a connection."""
+        """Marks a member as dead after its address refused a connection."""
         self.peer_record(member).refused_at_s = time.monotonic()
 
     def record_reset(self, member):
-        """Notes that a new connection to a member was reset.
+        """Counts a reset connection; marks the member as dead if it repeats.
 
-        A process that is gone behind an address translation shows itself
-        like this; a single reset may be an accident.
+        If a process behind a network address translation has ended, new
+        connections to it are reset instead of refused. A single reset may
+        have another cause.
         """
         record = self.peer_record(member)
         record.consecutive_resets += 1
@@ -112,20 +134,25 @@
             self.record_refusal(member)
 
     def record_answer(self, member):
-        """Notes that a member has answered."""
+        """Marks a member as alive after it has answered an exchange."""
         record = self.peer_record(member)
         record.consecutive_resets = 0
         record.refused_at_s = None
         record.last_alive_s = time.monotonic()
 
     def record_log_append(self, name, incarnation):
-        """Notes that a member has just put a record on the log."""
+        """Records a sign of life: a record that a member has appended.
+
+        Args:
+            name: Name of the member that appended to the control log.
+            incarnation: Incarnation of the member that the record names.
+        """
         member = self.state().members.get(name)
         if member is not None and member.incarnation == incarnation:
             self.peer_record(member).last_alive_s = time.monotonic()
 
     def silence_s(self, member):
-        """Returns the seconds since a member was last known to live."""
+        """Returns the seconds since the last sign of life of a member."""
         return time.monotonic() - self.peer_record(member).last_alive_s
 
     def advance_heartbeat(self):
@@ -133,8 +160,8 @@
         self.counter += 1
 
     def heartbeats(self):
-        """Returns the heartbeat counters to tell others, our own first."""
-        found = []
+        """Returns the known heartbeats of all members, this member's first."""
+        result = []
         for member in self.state().members.values():
             if self.is_self(member):
                 flags = (
@@ -142,16 +169,16 @@
                     if self.draining
                     else HeartbeatFlags.NONE
                 )
-                found.insert(0, build_heartbeat(member, self.counter, flags))
+                result.insert(0, build_heartbeat(member, self.counter, flags))
                 continue
             record = self.peer_record(member)
             if record.counter:
                 flags = flags_for(record)
-                found.append(build_heartbeat(member, record.counter, flags))
-        return found
+                result.append(build_heartbeat(member, record.counter, flags))
+        return result
 
     def newer_heartbeats(self, gossip):
-        """Returns the heartbeat counters that a sender has not seen."""
+        """Returns the heartbeats that are newer than those in a message."""
         seen = {
             heartbeat.joined_at: heartbeat.counter
             for heartbeat in gossip.heartbeats
@@ -163,7 +190,7 @@
         ]
 
     def recent_digests(self):
-        """Returns the figures that changed a short while ago."""
+        """Returns the digests that changed within ``DIGEST_FRESH_S``."""
         now_s = time.monotonic()
         return [
             digest
@@ -172,7 +199,7 @@
         ]
 
     def merge(self, gossip):
-        """Takes in what another member told."""
+        """Merges the heartbeats and digests of a message into this view."""
         members = {m.joined_at: m for m in self.state().members.values()}
         for heartbeat in gossip.heartbeats:
             member = members.get(heartbeat.joined_at)
@@ -182,7 +209,11 @@
             self.merge_digest(digest)
 
     def merge_heartbeat(self, member, heartbeat):
-        """Takes in a heartbeat counter if it is a newer one."""
+        """Updates the record of a member if a heartbeat is newer.
+
+        A report that the member is unreachable does not mark it as dead;
+        it only causes this process to probe the member itself.
+        """
         record = self.peer_record(member)
         if (
             heartbeat.flags & HeartbeatFlags.UNREACHABLE
@@ -196,10 +227,11 @@
             self.clear_refusal(record)
 
     def clear_refusal(self, record):
-        """Counts a member as alive again that had refused a connection.
+        """Marks a member as reachable again once the refusal is old enough.
 
-        Counters from before the refusal still go round for a while, so
-        that only a later one shows that the member lives.
+        Heartbeats that were sent before the refusal are still relayed for
+        a while. Only one that arrives later than the suspicion time after
+        the refusal shows that the member is alive.
         """
         if record.refused_at_s is None:
             return
@@ -207,23 +239,29 @@
             record.refused_at_s = None
 
     def merge_digest(self, digest):
-        """Takes in the figures of a rack if they are newer."""
+        """Stores the digest of a rack if it is newer than the known one."""
         known = self.digests.get(digest.rack)
-        order = (digest.term, digest.serial)
-        if known is None or order > (known.term, known.serial):
+        version = (digest.term, digest.serial)
+        if known is None or version > (known.term, known.serial):
             self.digests[digest.rack] = digest
             self.digest_changed_s[digest.rack] = time.monotonic()
 
 
 def build_heartbeat(member, counter, flags):
-    """Returns the pulse of a member."""
+    """Returns the heartbeat to send for a member.
+
+    Args:
+        member: Entry of the member in the control state.
+        counter: Heartbeat counter of the member.
+        flags: Combination of ``HeartbeatFlags``.
+    """
     return messages.Heartbeat(
         joined_at=member.joined_at, counter=counter, flags=int(flags)
     )
 
 
 def flags_for(record):
-    """Returns the flags of what is known of a member."""
+    """Returns the heartbeat flags for the record of a member."""
     flags = HeartbeatFlags.NONE
     if record.draining:
         flags |= HeartbeatFlags.DRAINING
