--- a/packages/cicadafold/src/cicadafold/peerlink/__init__.py
+++ b/packages/cicadafold/src/cicadafold/peerlink/__init__.py
@@ -1,1 +1,5 @@
-"""Links between members: one per peer and lane, so that lanes do not mix."""
+"""Links between members, over which requests are dispatched to racks.
+
+There is one link for each peer and lane, so that urgent frames never wait
+behind patient ones.
+"""
--- a/packages/cicadafold/src/cicadafold/peerlink/client.py
+++ b/packages/cicadafold/src/cicadafold/peerlink/client.py
@@ -1,4 +1,4 @@
-"""Calling side of the links to peers."""
+"""Client side of the links to peers."""
 
 import asyncio
 import functools
@@ -22,7 +22,15 @@
 class LaneLink:
     """One WebSocket to one incarnation of a peer, for one lane.
 
-    Frames that gather while the last message is written go out together.
+    Frames that are queued while a message is being written are sent
+    together in the next one.
+
+    Attributes:
+        serial: Serial number of the last frame.
+        unsent_frames: Frames that are queued but not yet written.
+        pending_calls: Future and deadline, in seconds of the event loop's
+            clock, of each call without a reply, by serial number.
+        on_close: Function that is called once when the link closes.
     """
 
     def __init__(self, *, session, address, lane, token, on_close):
@@ -38,15 +46,17 @@
         self.task = asyncio.create_task(self.run())
 
     async def call(self, frame, *, timeout_s):
-        """Sends a frame and waits for its reply.
+        """Sends a frame and returns its reply.
 
         Args:
-            frame: The frame to send.
-            timeout_s: Seconds after which the reply is given up.
+            frame: Frame to send; its ``serial`` is set.
+            timeout_s: Time to wait for the reply, in seconds. It is checked
+                every ``EXPIRY_CHECK_PERIOD_S``.
 
         Raises:
-            LinkNotOpen: Nothing was sent.
-            LinkLost: The frame may have arrived.
+            LinkNotOpen: The link was closed before the frame was sent.
+            LinkLost: The link broke or no reply arrived in time. The peer
+                may have received the frame.
         """
         if self.closed:
             raise link_not_open_error()
@@ -60,7 +70,7 @@
         return await future
 
     async def run(self):
-        """Connects, then reads and writes until the link breaks."""
+        """Connects, then sends frames and reads replies until the link breaks."""
         try:
             timeout = aiohttp.ClientWSTimeout(ws_close=CONNECT_TIMEOUT_S)
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -85,17 +95,17 @@
             await socket.close()
 
     async def read(self, socket):
-        """Gives each reply to its caller."""
+        """Reads replies and passes each one to its caller."""
         async for message in socket:
             if message.type is not aiohttp.WSMsgType.BINARY:
                 break
             for reply in frames.decode_replies(message.data):
-                waiting = self.pending_calls.pop(reply.serial, None)
-                if waiting is not None and not waiting[0].done():
-                    waiting[0].set_result(reply)
+                pending = self.pending_calls.pop(reply.serial, None)
+                if pending is not None and not pending[0].done():
+                    pending[0].set_result(reply)
 
     async def write(self, socket):
-        """Writes the frames that have gathered."""
+        """Writes the queued frames, all of them in one message."""
         while True:
             await self.frames_queued.wait()
             self.frames_queued.clear()
@@ -106,21 +116,25 @@
                 return
 
     async def expire_calls(self):
-        """Gives up on the calls whose time has passed."""
+        """Periodically fails the calls whose time-out has passed."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(EXPIRY_CHECK_PERIOD_S)
             now_s = loop.time()
-            overdue = [
+            expired = [
                 serial
-                for serial, (_, end_s) in self.pending_calls.items()
-                if end_s < now_s
+                for serial, (_, deadline_s) in self.pending_calls.items()
+                if deadline_s < now_s
             ]
-            for serial in overdue:
+            for serial in expired:
                 fail_call(self.pending_calls.pop(serial)[0], link_lost_error())
 
     def close(self):
-        """Fails the calls that have no reply."""
+        """Closes the link and fails all pending calls.
+
+        Calls whose frame was not written fail with ``LinkNotOpen``, others
+        with ``LinkLost``.
+        """
         if not self.closed:
             self.closed = True
             self.on_close()
@@ -137,29 +151,37 @@
 
 
 def fail_call(future, error):
-    """Fails a call if its caller still waits."""
+    """Sets an error on the future of a call that is still pending."""
     if not future.done():
         future.set_exception(error)
 
 
 def link_not_open_error():
-    """Builds the error of a call that was not sent."""
+    """Returns the error for a call whose frame was not sent."""
     return exception.LinkNotOpen(
-        message="The peer could not be reached.",
-        remedy="The call is repeated to the current owner.",
+        message="The call was not sent: no link to the peer is open.",
+        remedy="The call is repeated to the current owner of the rack.",
     )
 
 
 def link_lost_error():
-    """Builds the error of a call that has no reply."""
+    """Returns the error for a call without a reply whose frame may be sent."""
     return exception.LinkLost(
-        message="The link to the peer broke.",
-        remedy="The call is repeated to the current owner.",
+        message="The link broke or the peer did not reply in time.",
+        remedy="The call is repeated to the current owner of the rack.",
     )
 
 
 class LaneLinks:
-    """The open links, by incarnation and lane."""
+    """Links of this process, by peer, incarnation and lane.
+
+    Attributes:
+        resolve: Function that maps an address in the control state to the
+            one to connect to.
+        on_lost: Function that is called with the member's entry when a
+            link to it closes.
+        links: Links by name and incarnation of the peer and by lane.
+    """
 
     def __init__(self, *, session, token, resolve, on_lost):
         self.session = session
@@ -172,8 +194,8 @@
         """Returns an open link to a member, connecting if needed.
 
         Args:
-            member: The member's entry in the folded state.
-            lane: Lane whose frames the link carries.
+            member: Entry of the member in the control state.
+            lane: Lane of the requests that the link carries.
         """
         key = (member.name, member.incarnation, lane)
         link = self.links.get(key)
@@ -189,7 +211,7 @@
         return link
 
     async def close(self):
-        """Closes all links."""
+        """Closes all links and waits until they have closed."""
         for link in self.links.values():
             link.task.cancel()
         await asyncio.gather(
--- a/packages/cicadafold/src/cicadafold/peerlink/frames.py
+++ b/packages/cicadafold/src/cicadafold/peerlink/frames.py
@@ -1,4 +1,4 @@
-"""Frames on the links between members, as JSON arrays."""
+"""Frames sent over the links between members, encoded as JSON arrays."""
 
 import enum
 
@@ -25,18 +25,21 @@
 class Dispatch(FrameBase, tag="d"):
     """Asks the owner of a rack to run a request.
 
-    Sending a dispatch again is safe: an owner that knows the request
-    attaches the sender to it.
+    A dispatch may be repeated: an owner that already has the request sends
+    its reply to the new sender as well.
 
     Attributes:
-        serial: Number that the reply repeats.
-        attempt: Offset of the record that makes the sender coordinator;
-            0 for requests that are not recorded.
+        serial: Serial number that the reply repeats.
+        rack: Name of the rack.
+        attempt: Offset of the control record that made the sender the
+            coordinator; 0 for requests that are not recorded.
         first: False if the request may have been dispatched before.
-        budget_ms: Milliseconds left until the deadline.
-        age_ms: Milliseconds since a dispatch may first have been sent.
-        hops: How often the request was redirected.
-        spent_us: Microseconds that the sender spent on deciding.
+        budget_ms: Time left until the deadline, in milliseconds.
+        age_ms: Time since the request may first have been dispatched, in
+            milliseconds.
+        hops: Number of times that the request was redirected.
+        spent_us: Time that the sender spent on choosing a rack, in
+            microseconds.
     """
 
     serial: int
@@ -64,11 +67,21 @@
 class Locate(FrameBase, tag="l"):
     """Asks whether the owner of a rack knows a recorded request.
 
-    An answer of ``ABSENT`` is a proof: every worker of the rack has been
-    inventoried under the owner's term, and dispatches of coordinators
-    before ``attempt`` are refused from then on. For a request that is not
-    idempotent it also proves that no worker has been booted since the
-    request was accepted; ``UNKNOWN`` says that one has.
+    A reply of ``ABSENT`` proves that the rack does not have the request:
+    every worker of the rack has been inventoried in the owner's term, and
+    dispatches of coordinators before ``attempt`` are refused from then on.
+    For a request that is not idempotent it also proves that no worker has
+    been booted since the request was accepted; if one has, the reply is
+    ``UNKNOWN``.
+
+    Attributes:
+        serial: Serial number that the reply repeats.
+        rack: Name of the rack.
+        attempt: Offset of the control record that made the sender the
+            coordinator.
+        age_ms: Time since the request may first have been dispatched, in
+            milliseconds.
+        idempotent: Whether the request may run more than once.
     """
 
     serial: int
@@ -80,7 +93,7 @@
 
 
 class ReplyStatus(enum.Enum):
-    """How the owner of a rack answers."""
+    """Status of a request in the reply of the owner of a rack."""
 
     DONE = "done"
     RUNNING = "running"
@@ -95,14 +108,20 @@
 
 
 class Reply(FrameBase, tag="a"):
-    """Answer of the owner of a rack.
+    """Reply of the owner of a rack to any frame.
 
     Attributes:
+        serial: Serial number of the frame.
         started: Whether a target may have started the request.
-        rack: Where a redirected request goes.
+        worker: Name of the worker that ran the request.
+        rack: Name of the rack that a redirected request should go to.
         code: Error code of a refusal.
-        waited_us: Microseconds in the owner's queue.
-        decision_us: Microseconds that the owner spent on deciding.
+        text: Error message or reason.
+        retry_after_ms: Time after which the caller may repeat a refused
+            request, in milliseconds.
+        waited_us: Time in the owner's queue, in microseconds.
+        decision_us: Time that the sender and the owner spent on placement,
+            in microseconds.
     """
 
     serial: int
--- a/packages/cicadafold/src/cicadafold/peerlink/server.py
+++ b/packages/cicadafold/src/cicadafold/peerlink/server.py
@@ -1,4 +1,4 @@
-"""Called side of the links between peers."""
+"""Server side of the links between peers."""
 
 import asyncio
 
@@ -19,10 +19,13 @@
 
 
 def handles(frame_type):
-    """Registers the function that handles one type of frame.
+    """Returns a decorator that registers the handler of a type of frame.
 
-    The function takes the rack service, the frame, and a function that
+    The handler takes the rack service, the frame, and a function that
     sends the reply.
+
+    Args:
+        frame_type: Class of the frames that the handler takes.
     """
 
     def register(function):
@@ -33,7 +36,13 @@
 
 
 class ReplyWriter:
-    """Replies that gather until the next message is written."""
+    """Writes queued replies to a socket, several in one message.
+
+    Attributes:
+        socket: WebSocket to the peer.
+        replies: Replies that are queued but not yet written.
+        replies_queued: Set when a reply is queued.
+    """
 
     def __init__(self, *, socket):
         self.socket = socket
@@ -41,12 +50,12 @@
         self.replies_queued = asyncio.Event()
 
     def send(self, reply):
-        """Queues a reply."""
+        """Queues a reply for the next message."""
         self.replies.append(reply)
         self.replies_queued.set()
 
     async def run(self):
-        """Writes the replies that have gathered."""
+        """Writes queued replies until the connection is closed."""
         while True:
             await self.replies_queued.wait()
             self.replies_queued.clear()
@@ -58,11 +67,23 @@
 
 
 def handle_frame(rack_service, frame, send):
-    """Handles one frame; a fault of ours becomes an unknown outcome."""
+    """Passes a frame to its handler.
+
+    If the handler fails, the reply has the status ``UNKNOWN``, because a
+    target may already have started the request.
+
+    Args:
+        rack_service: Service of the racks that this process owns.
+        frame: Frame of the peer.
+        send: Function that sends a reply.
+    """
     try:
         FRAME_HANDLERS[type(frame)](rack_service, frame, send)
     except Exception:
-        LOG.exception("A frame could not be handled.")
+        LOG.exception(
+            "The handler of a frame failed; the reply says that the outcome "
+            "is unknown."
+        )
         status = frames.ReplyStatus.UNKNOWN
         send(frames.Reply(serial=frame.serial, status=status, started=True))
 
@@ -72,7 +93,7 @@
 
     Args:
         request: The HTTP request to upgrade.
-        rack_service: What the frames are handed to.
+        rack_service: Service of the racks that this process owns.
     """
     socket = web.WebSocketResponse(
         heartbeat=HEARTBEAT_PERIOD_S,
--- a/packages/cicadafold/src/cicadafold/reports/__init__.py
+++ b/packages/cicadafold/src/cicadafold/reports/__init__.py
@@ -1,1 +1,1 @@
-"""Reports for operators."""
+"""Reports for operators on service-level objectives."""
--- a/packages/cicadafold/src/cicadafold/reports/burn.py
+++ b/packages/cicadafold/src/cicadafold/reports/burn.py
@@ -1,7 +1,8 @@
-"""Service-level burn: how fast answers use up their error budget.
+"""Burn rates: how fast the kinds of requests use up their error budgets.
 
-A kind's objective allows a share of bad answers. A burn of 1 uses up just
-that share; a burn of 10 uses it up ten times as fast.
+The objective of a kind allows a share of bad answers, the error budget. A
+burn rate of 1 means that exactly this share of the answers is bad; at a
+rate of 10 the budget is used up ten times as fast.
 
 References:
     B. Beyer et al. (eds.): The Site Reliability Workbook, chapter 5,
@@ -16,11 +17,19 @@
 __all__ = ["BUCKET_S", "AnswerCounts", "WINDOWS_S", "merge_reports"]
 
 BUCKET_S = 10
+# 1 minute, 5 minutes, 1 hour and 6 hours.
 WINDOWS_S = (60, 300, 3600, 21600)
 
 
 class AnswerCounts:
-    """Good and bad answers by kind, in buckets of time.
+    """Counts of good and bad answers by kind, in buckets of ``BUCKET_S``.
+
+    An answer is good if it is not a failure and is given within the time of
+    the kind's objective. Buckets older than the longest window are dropped.
+
+    Attributes:
+        kinds: Buckets by name of the kind. Each maps the bucket's number
+            to a list of the good and the bad answers in it.
 
     Examples:
         >>> counts = AnswerCounts()
@@ -34,7 +43,14 @@
         self.kinds = collections.defaultdict(collections.OrderedDict)
 
     def count_answer(self, kind, *, good, now_s=None):
-        """Counts one answer."""
+        """Counts one answer.
+
+        Args:
+            kind: Name of the kind.
+            good: Whether the answer meets the objective.
+            now_s: Time of the answer in Unix seconds; the current time if
+                None.
+        """
         now_s = time.time() if now_s is None else now_s
         bucket = int(now_s // BUCKET_S)
         buckets = self.kinds[kind]
@@ -47,7 +63,14 @@
         counts[0 if good else 1] += 1
 
     def totals(self, kind, *, window_s, now_s=None):
-        """Returns good and bad answers within a window."""
+        """Returns the number of good and of bad answers within a window.
+
+        Args:
+            kind: Name of the kind.
+            window_s: Length of the window in seconds.
+            now_s: End of the window in Unix seconds; the current time if
+                None.
+        """
         now_s = time.time() if now_s is None else now_s
         first = int((now_s - window_s) // BUCKET_S) + 1
         good = bad = 0
@@ -59,11 +82,11 @@
         return good, bad
 
     def report(self, member, kinds):
-        """Returns this member's report.
+        """Returns the burn report of this member.
 
         Args:
             member: Name of the member.
-            kinds: Kinds of the configuration.
+            kinds: Kinds in the configuration.
         """
         return messages.BurnReport(
             members=[member],
@@ -72,7 +95,7 @@
         )
 
     def kind_report(self, kind):
-        """Returns the report of one kind."""
+        """Returns the burn of one kind in all windows."""
         windows = []
         for window_s in WINDOWS_S:
             good, bad = self.totals(kind.name, window_s=window_s)
@@ -88,7 +111,14 @@
 
 
 def build_window(window_s, good, bad, objective_share):
-    """Builds the figures of one window."""
+    """Returns the burn of one window.
+
+    Args:
+        window_s: Length of the window in seconds.
+        good: Number of good answers.
+        bad: Number of bad answers.
+        objective_share: Share of answers that must be good, below 1.
+    """
     total = good + bad
     allowed = 1.0 - objective_share
     burn = (bad / total) / allowed if total else 0.0
@@ -98,18 +128,18 @@
 
 
 def merge_reports(reports, unreachable):
-    """Adds up the reports of several members.
+    """Returns one report from the summed counts of several members.
 
     Args:
         reports: Reports of the members that answered.
-        unreachable: Names of the members that did not.
+        unreachable: Names of the members that did not answer.
     """
     merged = {}
     for report in reports:
         for kind in report.kinds:
-            merged_kind = merged.get(kind.kind)
+            previous = merged.get(kind.kind)
             merged[kind.kind] = (
-                merge_kind_reports(merged_kind, kind) if merged_kind else kind
+                merge_kind_reports(previous, kind) if previous else kind
             )
     return messages.BurnReport(
         members=sorted(name for r in reports for name in r.members),
@@ -119,7 +149,7 @@
 
 
 def merge_kind_reports(first, second):
-    """Adds up the figures of one kind."""
+    """Returns the burn of one kind from the summed counts of two reports."""
     windows = [
         build_window(
             a.window_s, a.good + b.good, a.bad + b.bad, first.objective_share
--- a/packages/cicadafold/src/cicadafold/reports/burn_page.py
+++ b/packages/cicadafold/src/cicadafold/reports/burn_page.py
@@ -1,4 +1,4 @@
-"""The burn report as one self-contained HTML page with plots."""
+"""Renders a burn report as a self-contained HTML page with bar charts."""
 
 import html
 import string
@@ -19,8 +19,8 @@
 th:first-child, td:first-child { text-align: left; }
 </style></head><body>
 <h1>Service-level burn</h1>
-<p>A burn of 1 uses up just the bad answers that the objective allows.
-The bars end at $full_scale.</p>
+<p>A burn of 1 uses up exactly the bad answers that the objective allows.
+The bars are cut off at $full_scale.</p>
 <p>Members: $members. Not included: $unreachable.</p>
 $kinds
 </body></html>
@@ -47,10 +47,10 @@
 
 
 def render(report):
-    """Returns the page of a report.
+    """Returns the HTML page of a report.
 
     Args:
-        report: A burn report.
+        report: Burn report of one or of several members.
     """
     return PAGE.substitute(
         full_scale=f"{FULL_SCALE_BURN:g}",
@@ -61,7 +61,7 @@
 
 
 def render_kind(kind):
-    """Returns the section of one kind."""
+    """Returns the HTML section of one kind."""
     return KIND.substitute(
         kind=html.escape(kind.kind),
         share=f"{kind.objective_share:.2%}",
@@ -71,7 +71,7 @@
 
 
 def render_window(window):
-    """Returns the row of one window."""
+    """Returns the HTML table row of one window."""
     return ROW.substitute(
         window=window.window_s,
         burn=f"{window.burn:.2f}",
@@ -82,7 +82,7 @@
 
 
 def render_bar(burn):
-    """Returns the bar of a burn, with a mark at 1."""
+    """Returns the SVG bar of a burn, with a mark at a burn of 1."""
     scale = BAR_WIDTH_PX / FULL_SCALE_BURN
     return BAR.substitute(
         full=BAR_WIDTH_PX,
@@ -94,7 +94,7 @@
 
 
 def bar_colour(burn):
-    """Returns the colour of a burn."""
+    """Returns the colour of the bar: critical, warning or normal."""
     if burn >= CRITICAL_BURN:
         return "#c0392b"
     return "#e6a700" if burn >= WARNING_BURN else "#2e8b57"
--- a/packages/cicadafold/src/cicadafold/reports/tests/test_burn.py
+++ b/packages/cicadafold/src/cicadafold/reports/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""Burn is the share of bad answers over the share allowed."""
+"""Tests of burn: the share of bad answers divided by the allowed share."""
 
 import pytest
 
@@ -19,7 +19,7 @@
     )
 
 
-def test_burn_of_two_members_is_that_of_their_sum(kind):
+def test_merged_burn_uses_the_summed_counts(kind):
     reports = []
     for bad in (0, 10):
         counts = burn.AnswerCounts()
@@ -34,7 +34,7 @@
     assert merged.unreachable == ["gone"]
 
 
-def test_answers_leave_their_window(kind):
+def test_answers_outside_the_window_are_not_counted(kind):
     counts = burn.AnswerCounts()
     counts.count_answer(kind.name, good=False, now_s=1000.0)
     assert counts.totals(kind.name, window_s=60, now_s=1030.0) == (0, 1)
