--- a/packages/cicadafold-schema/src/cicadafold_schema/__init__.py
+++ b/packages/cicadafold-schema/src/cicadafold_schema/__init__.py
@@ -1,4 +1,4 @@
-"""Messages of cicadafold's calls, generated from ``openapi.yaml``.
+"""Messages of the HTTP API of cicadafold, generated from ``openapi.yaml``.
 
 Examples:
     >>> from cicadafold_schema import messages
--- a/packages/cicadafold-schema/src/cicadafold_schema/base.py
+++ b/packages/cicadafold-schema/src/cicadafold_schema/base.py
@@ -1,4 +1,4 @@
-"""Base class of every message that the schema file defines."""
+"""Base class of the messages that ``openapi.yaml`` defines."""
 
 import msgspec
 
@@ -8,4 +8,4 @@
 class Message(
     msgspec.Struct, kw_only=True, forbid_unknown_fields=True, gc=False
 ):
-    """A message that refuses unknown fields when it is decoded."""
+    """A message whose decoding fails if there are unknown fields."""
--- a/packages/cicadafold-schema/src/cicadafold_schema/generate.py
+++ b/packages/cicadafold-schema/src/cicadafold_schema/generate.py
@@ -1,8 +1,8 @@
-"""Generates ``messages.py`` from the schema file.
+"""Generates the module ``messages.py`` from ``openapi.yaml``.
 
 Run ``python -m cicadafold_schema.generate`` after a change of
-``openapi.yaml``. The generator is needed for development only, as the
-generated module is committed.
+``openapi.yaml``. The generated module is committed, so that the package
+``datamodel-code-generator`` is needed for development only.
 """
 
 import pathlib
@@ -18,10 +18,10 @@
 
 
 def generate(output):
-    """Writes the generated module to a path.
+    """Generates the messages and writes them to a path, formatted.
 
     Args:
-        output: Path of the module to write.
+        output: Path of the Python module to write.
 
     Raises:
         subprocess.CalledProcessError: The generator or the formatter failed.
@@ -68,7 +68,7 @@
 
 
 def main():
-    """Generates the committed module."""
+    """Writes the module that is committed."""
     generate(MESSAGES_PATH)
 
 
--- a/packages/cicadafold-schema/src/cicadafold_schema/messages.py
+++ b/packages/cicadafold-schema/src/cicadafold_schema/messages.py
@@ -16,7 +16,7 @@
 
 class Lane(StrEnum):
     """
-    Urgent work is never queued behind patient work.
+    Priority lane. An urgent request is never queued behind a patient one.
     """
 
     urgent = "urgent"
@@ -25,7 +25,7 @@
 
 class Shape(StrEnum):
     """
-    A task runs once, a gang needs all its tasks at once, a service runs until it is cancelled.
+    A request of shape task runs one task to its end, a gang starts all its tasks together, and a service runs until it is cancelled.
     """
 
     task = "task"
@@ -35,7 +35,7 @@
 
 class Outcome(StrEnum):
     """
-    Final are done, failed, not_run, unknown and cancelled. A failed request ran and its target reported a failure.
+    Outcome of a request; accepted and running are not final. failed means that the request ran and its target reported a failure; not_run that no target has started it or ever will; unknown that it may have run.
     """
 
     accepted = "accepted"
@@ -73,7 +73,7 @@
 
 class Error(Message, kw_only=True):
     """
-    A typed error whose message names the remedy.
+    What failed, as a code and a message, and how to correct it.
     """
 
     code: ErrorCode
@@ -83,7 +83,7 @@
         Annotated[
             int,
             Meta(
-                description="Milliseconds after which a retry makes sense.",
+                description="Milliseconds after which to repeat the call.",
                 ge=0,
             ),
         ]
@@ -104,7 +104,8 @@
         Annotated[
             str,
             Meta(
-                description="Handed to the target as it is.", max_length=65536
+                description="Text that is passed to the target unchanged.",
+                max_length=65536,
             ),
         ]
         | UnsetType
@@ -113,7 +114,7 @@
         Annotated[
             int,
             Meta(
-                description="1 for the first submission of this request id.",
+                description="Number of this submission of the request id; 1 for the first.",
                 ge=1,
                 le=1000,
             ),
@@ -124,7 +125,7 @@
         Annotated[
             str,
             Meta(
-                description="Region of the caller. Duplicates are found within it; empty stands for the region of the entry host.",
+                description="Region of the caller; empty means the region of the entry host. Repeated submissions are recognized only if they have the same origin.",
                 max_length=64,
             ),
         ]
@@ -134,7 +135,7 @@
         Annotated[
             int,
             Meta(
-                description="Milliseconds from arrival to the final answer; 0 takes the deadline of the kind.",
+                description="Time limit for the final answer in milliseconds, from the arrival of the call; 0 means the deadline of the kind.",
                 ge=0,
                 le=86400000,
             ),
@@ -145,7 +146,7 @@
         Annotated[
             bool,
             Meta(
-                description="False returns as soon as the request is accepted."
+                description="Whether to wait for the result. If false, a recorded request is answered as soon as it is accepted."
             ),
         ]
         | UnsetType
@@ -161,7 +162,7 @@
         Annotated[
             int,
             Meta(
-                description="Microseconds from acceptance to the start sent."
+                description="Microseconds from acceptance until the start command was sent."
             ),
         ]
         | UnsetType
@@ -169,14 +170,18 @@
     decision_us: (
         Annotated[
             int,
-            Meta(description="Microseconds spent deciding where to run it."),
+            Meta(
+                description="Microseconds spent choosing where to run the request."
+            ),
         ]
         | UnsetType
     ) = 0
 
 
 class Event(Message, kw_only=True):
-    at_ms: Annotated[int, Meta(description="Milliseconds since 1970.")]
+    at_ms: Annotated[
+        int, Meta(description="Milliseconds since 1970-01-01 in UTC.")
+    ]
     member: str
     text: str
 
@@ -188,21 +193,36 @@
 
 class Kind(Message, kw_only=True):
     """
-    A kind of work and its policy.
+    A kind of requests, with what they need and how they are scheduled.
     """
 
     name: Annotated[str, Meta(max_length=64, min_length=1)]
     lane: Lane
     shape: Shape
-    idempotent: Annotated[bool, Meta(description="False runs at most once.")]
+    idempotent: Annotated[
+        bool,
+        Meta(
+            description="Whether a request may run more than once; if not, it runs at most once."
+        ),
+    ]
     durable: Annotated[
-        bool, Meta(description="True is recorded on the log before it starts.")
+        bool,
+        Meta(
+            description="Whether a request is recorded on the control log before it starts."
+        ),
     ]
     cores: Annotated[float, Meta(gt=0.0, le=4096.0)] | UnsetType = 1
     memory_mb: Annotated[int, Meta(ge=1, le=67108864)] | UnsetType = 256
     accelerators: Annotated[int, Meta(ge=0, le=64)] | UnsetType = 0
     tasks: (
-        Annotated[int, Meta(description="Tasks of a gang.", ge=1, le=4096)]
+        Annotated[
+            int,
+            Meta(
+                description="Number of tasks of a gang; 1 for other shapes.",
+                ge=1,
+                le=4096,
+            ),
+        ]
         | UnsetType
     ) = 1
     deadline_ms: Annotated[int, Meta(ge=10, le=86400000)] | UnsetType = 10000
@@ -211,7 +231,7 @@
         Annotated[
             int,
             Meta(
-                description="Weight against other kinds of the same lane.",
+                description="Weight of the kind in fair sharing; a start is charged to its team as cores x tasks / worth.",
                 ge=1,
                 le=1000,
             ),
@@ -232,7 +252,7 @@
         Annotated[
             int,
             Meta(
-                description="Answers later than this burn the error budget.",
+                description="Milliseconds after which an answer counts against the error budget.",
                 ge=1,
                 le=86400000,
             ),
@@ -243,7 +263,7 @@
         Annotated[
             float,
             Meta(
-                description="Share of answers that must be within objective_ms.",
+                description="Share of requests that must succeed within objective_ms.",
                 gt=0.0,
                 lt=1.0,
             ),
@@ -258,7 +278,7 @@
         Annotated[
             int,
             Meta(
-                description="Share of patient work when teams compete.",
+                description="Weight in fair sharing among teams in the patient lane.",
                 ge=1,
                 le=1000,
             ),
@@ -269,7 +289,7 @@
         Annotated[
             float,
             Meta(
-                description="Cores that patient work may hold; 0 is unlimited.",
+                description="Cores that patient requests of the team may use at a time, split evenly among the racks; 0 means no limit.",
                 ge=0.0,
                 le=10000000.0,
             ),
@@ -286,7 +306,7 @@
         Annotated[
             int,
             Meta(
-                description="Slots on each worker that patient work leaves free.",
+                description="Slots on each worker that patient requests leave free.",
                 ge=0,
                 le=64,
             ),
@@ -297,7 +317,7 @@
         Annotated[
             int,
             Meta(
-                description="Waiting in milliseconds that a placement in another region must save.",
+                description="Milliseconds that a request must have to wait in its own region before another region is considered.",
                 ge=0,
                 le=3600000,
             ),
@@ -360,7 +380,10 @@
     good: int
     bad: int
     burn: Annotated[
-        float, Meta(description="Share of bad answers over the share allowed.")
+        float,
+        Meta(
+            description="Share of bad answers, divided by the share that the objective allows."
+        ),
     ]
 
 
--- a/packages/cicadafold-schema/src/cicadafold_schema/tests/__init__.py
+++ b/packages/cicadafold-schema/src/cicadafold_schema/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the schema and its generated messages."""
+"""Tests of ``cicadafold_schema``."""
--- a/packages/cicadafold-schema/src/cicadafold_schema/tests/test_generate.py
+++ b/packages/cicadafold-schema/src/cicadafold_schema/tests/test_generate.py
@@ -1,4 +1,4 @@
-"""The committed messages are those of the schema file."""
+"""Tests that the committed messages match ``openapi.yaml``."""
 
 import msgspec
 import pytest
@@ -23,6 +23,6 @@
         b'{"request_id":"a","kind":"k","team":7}',
     ],
 )
-def test_submit_refuses_what_the_schema_does_not_allow(body):
+def test_submit_request_that_violates_the_schema_is_rejected(body):
     with pytest.raises(msgspec.ValidationError):
         msgspec.json.decode(body, type=messages.SubmitRequest)
--- a/packages/cicadafold/src/cicadafold/cli/__init__.py
+++ b/packages/cicadafold/src/cicadafold/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line for operators and callers."""
+"""The command line ``cicadafold`` for operators and callers."""
--- a/packages/cicadafold/src/cicadafold/cli/base.py
+++ b/packages/cicadafold/src/cicadafold/cli/base.py
@@ -1,4 +1,4 @@
-"""Base of all commands: common options, output, exit codes."""
+"""Base class of the commands that call an entry host, and their registry."""
 
 from cleo.commands import command
 from cleo.helpers import option
@@ -11,25 +11,47 @@
 COMMANDS = []
 
 COMMON_OPTIONS = [
-    option("address", None, "Base address of an entry host.", flag=False),
-    option("token", None, "Token of your role.", flag=False),
-    option("output", None, "text or json.", flag=False, default="text"),
+    option("address", None, "Base URL of an entry host.", flag=False),
+    option("token", None, "Token that authorizes the call.", flag=False),
+    option(
+        "output",
+        None,
+        "Output format: text or json.",
+        flag=False,
+        default="text",
+    ),
 ]
 
 
 def register_command(cls):
-    """Registers a command with the application."""
+    """Class decorator that adds a command to the command line."""
     COMMANDS.append(cls)
     return cls
 
 
 class CallCommand(command.Command):
-    """A command that makes calls and prints text or JSON."""
+    """A command that calls an entry host and prints the result.
+
+    The option ``--output`` chooses between text and JSON.
+    """
 
     options = COMMON_OPTIONS
 
     def call_api(self, method, path, message_type, message=None):
-        """Makes a call with the command's common options."""
+        """Makes a call with the address and token of the options.
+
+        Args:
+            method: HTTP method.
+            path: URL path of the call.
+            message_type: Type of the reply.
+            message: Message to send as the body, or None.
+
+        Returns:
+            The decoded reply.
+
+        Raises:
+            CallFailed: The call was refused or not answered.
+        """
         return client.call_api(
             method,
             path,
@@ -50,15 +72,15 @@
         return int(self.exit_code(result))
 
     def perform(self):
-        """Makes the command's calls and returns what to show."""
+        """Makes the calls of the command and returns the result to print."""
         raise NotImplementedError
 
     def exit_code(self, result):
-        """Returns the exit code of a result."""
+        """Returns the exit code for a result; by default success."""
         return client.ExitCode.DONE
 
     def show(self, result):
-        """Prints a result in the chosen form."""
+        """Prints a result as text or JSON."""
         if self.option("output") == "json":
             self.line(msgspec.json.encode(result).decode())
         else:
@@ -66,17 +88,20 @@
                 self.line(line)
 
     def text_lines(self, result):
-        """Yields the lines of a result as text."""
+        """Yields the lines that show a result as text."""
         raise NotImplementedError
 
     def show_failure(self, error):
-        """Prints a failed call with its remedy."""
+        """Prints the error of a failed call.
+
+        As text it goes to standard error, as JSON to standard output.
+        """
         if self.option("output") == "json":
             self.line(msgspec.json.encode(error.reply).decode())
             return
-        shown = error.reply.error
-        self.line_error(f"{shown.code.value}: {shown.message}")
+        details = error.reply.error
+        self.line_error(f"{details.code.value}: {details.message}")
         self.line_error(f"Outcome: {error.reply.outcome.value}.")
-        self.line_error(f"Remedy: {shown.remedy}")
-        if shown.retry_after_ms is not msgspec.UNSET:
-            self.line_error(f"Retry after {shown.retry_after_ms} ms.")
+        self.line_error(f"Remedy: {details.remedy}")
+        if details.retry_after_ms is not msgspec.UNSET:
+            self.line_error(f"Retry after {details.retry_after_ms} ms.")
--- a/packages/cicadafold/src/cicadafold/cli/client.py
+++ b/packages/cicadafold/src/cicadafold/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls to an entry host from the command line."""
+"""HTTP client of the command line for the calls of an entry host."""
 
 import asyncio
 import enum
@@ -20,7 +20,18 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Exit codes that a script can rely on."""
+    """Exit codes of the command line, which scripts depend on.
+
+    Attributes:
+        DONE: The call succeeded.
+        FAILED: The call failed in a way that no other code describes.
+        USAGE: The arguments, the file or the call are not valid.
+        NOT_RUN: No target has started the request or ever will.
+        UNKNOWN: The request may have run.
+        CONFLICT: The configuration has changed since the given revision, or
+            the request id belongs to a different request.
+        UNREACHABLE: The entry host did not answer.
+    """
 
     DONE = 0
     FAILED = 1
@@ -48,8 +59,9 @@
     """A call that was answered with an error, or not at all.
 
     Attributes:
-        reply: The error as the entry host gave it.
-        exit_code: Exit code of the command.
+        reply: ``ErrorReply`` of the entry host, or one made by this client
+            if there is none.
+        exit_code: ``ExitCode`` with which the command ends.
     """
 
     def __init__(self, *, reply, exit_code):
@@ -59,7 +71,7 @@
 
 
 def exit_code_of(reply):
-    """Returns the exit code of an error."""
+    """Returns the exit code for an ``ErrorReply``."""
     known = EXIT_BY_CODE.get(reply.error.code)
     return known or EXIT_BY_OUTCOME.get(reply.outcome, ExitCode.FAILED)
 
@@ -71,12 +83,13 @@
 
     Args:
         method: HTTP method.
-        path: Path of the call.
-        kind: Type of the reply.
-        address: Base address of an entry host or balancer; by default
-            that of the environment.
-        token: Token of the caller's role.
-        message: Message to send, or None.
+        path: URL path of the call.
+        message_type: Type of the reply.
+        address: Base URL of an entry host or load balancer; if empty, that
+            of the environment variable ``CICADAFOLD_ADDRESS``.
+        token: Token that authorizes the call; if empty, that of the
+            environment variable ``CICADAFOLD_TOKEN``.
+        message: Message to send as the body, or None.
 
     Raises:
         CallFailed: The call was refused or not answered.
@@ -90,7 +103,11 @@
 
 
 async def send_http_request(method, url, token, message):
-    """Exchanges one HTTP request and returns the body of the reply."""
+    """Sends one HTTP request and returns the body of the reply.
+
+    Raises:
+        CallFailed: The reply is an error, or there is none.
+    """
     headers = {"Authorization": f"Bearer {token}"} if token else {}
     data = None if message is None else msgspec.json.encode(message)
     timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
@@ -108,28 +125,28 @@
 
 
 def failure_from_reply(body):
-    """Builds the failure of a call that was refused."""
+    """Returns the exception for an error reply, given its body."""
     try:
         reply = ERROR_DECODER.decode(body)
     except msgspec.DecodeError:
         reply = make_error_reply(
-            "The answer is not one of an entry host.",
-            "Check the address.",
+            "The reply was not sent by an entry host.",
+            "Check the address of the entry host.",
         )
     return CallFailed(reply=reply, exit_code=exit_code_of(reply))
 
 
 def failure_without_reply(url, error):
-    """Builds the failure of a call without answer."""
+    """Returns the exception for a call that got no reply."""
     reply = make_error_reply(
         f"No answer from {url}: {type(error).__name__}.",
-        f"Check --address or {ADDRESS_VARIABLE}, then ask for the status.",
+        f"Check --address or {ADDRESS_VARIABLE}, then query the status.",
     )
     return CallFailed(reply=reply, exit_code=ExitCode.UNREACHABLE)
 
 
 def make_error_reply(message, remedy):
-    """Builds an error that no entry host has sent."""
+    """Returns an ``ErrorReply`` for an error that this client detected."""
     return messages.ErrorReply(
         outcome=messages.Outcome.unknown,
         error=messages.Error(
--- a/packages/cicadafold/src/cicadafold/cli/configuration_commands.py
+++ b/packages/cicadafold/src/cicadafold/cli/configuration_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the configuration: show, history, apply, kinds, teams."""
+"""Commands that show and change the configuration, its kinds and teams."""
 
 import tomllib
 import uuid
@@ -32,7 +32,21 @@
         return self.call_api("GET", PATH, messages.Configuration)
 
     def apply(self, configuration, base_revision, author):
-        """Applies a configuration on a base revision."""
+        """Replaces the configuration.
+
+        Args:
+            configuration: The new configuration.
+            base_revision: Revision that the new configuration is based on;
+                the entry host refuses the change if it is not the current
+                one.
+            author: Author for the history; may be empty or None.
+
+        Returns:
+            The configuration in force after the change.
+
+        Raises:
+            CallFailed: The change was refused, or may not be in force.
+        """
         change = messages.ConfigurationChange(
             change_id=uuid.uuid4().hex,
             base_revision=base_revision,
@@ -42,7 +56,7 @@
         return self.call_api("POST", PATH, messages.Configuration, change)
 
     def text_lines(self, result):
-        """Yields the lines of a configuration."""
+        """Yields the lines that show a whole configuration."""
         yield f"revision {result.revision}"
         yield f"headroom_slots {result.headroom_slots}"
         yield f"cross_region_price_ms {result.cross_region_price_ms}"
@@ -51,13 +65,13 @@
 
 
 def kind_lines(configuration):
-    """Yields one line for each kind."""
+    """Yields one line for each kind of requests."""
     for kind in configuration.kinds:
-        once = "idempotent" if kind.idempotent else "at most once"
-        lasting = "durable" if kind.durable else "not recorded"
+        execution = "idempotent" if kind.idempotent else "at most once"
+        durability = "durable" if kind.durable else "not recorded"
         yield (
             f"kind {kind.name}: {kind.lane.value} {kind.shape.value}, "
-            f"{once}, {lasting}, {kind.tasks} x {kind.cores:g} cores "
+            f"{execution}, {durability}, {kind.tasks} x {kind.cores:g} cores "
             f"{kind.memory_mb} MB, deadline {kind.deadline_ms} ms"
         )
 
@@ -70,10 +84,17 @@
 
 
 def read_file(path, message_type):
-    """Reads a message from a TOML or JSON file.
+    """Reads a message of the schema from a file.
+
+    Args:
+        path: Path of the file: JSON if it ends in ``.json``, else TOML.
+        message_type: Type of the message.
+
+    Returns:
+        The decoded message.
 
     Raises:
-        CallFailed: The file cannot be read or does not fit the schema.
+        CallFailed: The file cannot be read or does not match the schema.
     """
     try:
         with open(path, "rb") as source:
@@ -86,7 +107,7 @@
     except (OSError, ValueError) as error:
         reply = client.make_error_reply(
             f"{path} is not a {message_type.__name__}: {error}.",
-            "Correct the file.",
+            "Correct the file or its path.",
         )
         reply.outcome = messages.Outcome.not_run
         raise client.CallFailed(
@@ -102,19 +123,19 @@
     description = "Shows the configuration in force."
 
     def perform(self):
-        """Asks for the configuration."""
+        """Returns the configuration in force."""
         return self.current_configuration()
 
 
 @base.register_command
 class ConfigHistoryCommand(base.CallCommand):
-    """Lists the accepted changes."""
+    """Lists the changes of the configuration, newest last."""
 
     name = "config history"
-    description = "Lists the accepted changes, newest last."
+    description = "Lists the changes of the configuration, newest last."
 
     def perform(self):
-        """Asks for the history."""
+        """Returns the history of the configuration."""
         return self.call_api("GET", PATH + "/history", messages.History)
 
     def text_lines(self, result):
@@ -126,19 +147,28 @@
 
 @base.register_command
 class ConfigApplyCommand(ConfigurationCommand):
-    """Replaces the configuration on a base revision."""
+    """Replaces the whole configuration by that of a file."""
 
     name = "config apply"
-    description = "Replaces the configuration that --base names."
-    arguments = [argument("file", "TOML or JSON file.")]
+    description = (
+        "Replaces the configuration if its revision is still that of --base."
+    )
+    arguments = [
+        argument("file", "TOML or JSON file of a whole configuration.")
+    ]
     options = [
         *base.COMMON_OPTIONS,
-        option("base", None, "Revision that it is based on.", flag=False),
+        option(
+            "base",
+            None,
+            "Revision that the file is based on; by default that in the file.",
+            flag=False,
+        ),
         option("author", None, "Your name, for the history.", flag=False),
     ]
 
     def perform(self):
-        """Applies the file."""
+        """Replaces the configuration and returns the one then in force."""
         wanted = read_file(self.argument("file"), messages.Configuration)
         given = self.option("base")
         revision = int(given) if given else wanted.revision
@@ -147,30 +177,30 @@
 
 @base.register_command
 class KindListCommand(ConfigurationCommand):
-    """Lists the kinds of work."""
+    """Lists the kinds of requests."""
 
     name = "kind list"
-    description = "Lists the kinds of work."
+    description = "Lists the kinds of requests."
 
     def perform(self):
-        """Asks for the configuration."""
+        """Returns the configuration in force."""
         return self.current_configuration()
 
     def text_lines(self, result):
-        """Yields one line for each kind."""
+        """Yields one line for each kind of requests."""
         yield from kind_lines(result)
 
 
 @base.register_command
 class KindSetCommand(ConfigurationCommand):
-    """Adds or replaces one kind of work."""
+    """Adds or replaces one kind of requests."""
 
     name = "kind set"
-    description = "Adds or replaces one kind of work."
+    description = "Adds or replaces one kind of requests."
     arguments = [argument("file", "TOML or JSON file of one kind.")]
 
     def perform(self):
-        """Changes the configuration by one kind."""
+        """Sets the kind in the current configuration and applies that."""
         wanted = read_file(self.argument("file"), messages.Kind)
         current = self.current_configuration()
         kinds = [k for k in current.kinds if k.name != wanted.name]
@@ -186,7 +216,7 @@
     description = "Lists the teams."
 
     def perform(self):
-        """Asks for the configuration."""
+        """Returns the configuration in force."""
         return self.current_configuration()
 
     def text_lines(self, result):
@@ -203,12 +233,22 @@
     arguments = [argument("team", "Name of the team.")]
     options = [
         *base.COMMON_OPTIONS,
-        option("weight", None, "Share of patient work.", flag=False),
-        option("quota-cores", None, "Cores; 0 is unlimited.", flag=False),
+        option(
+            "weight",
+            None,
+            "Weight in fair sharing among teams in the patient lane.",
+            flag=False,
+        ),
+        option(
+            "quota-cores",
+            None,
+            "Quota in cores in the patient lane; 0 means no limit.",
+            flag=False,
+        ),
     ]
 
     def perform(self):
-        """Changes the configuration by one team."""
+        """Sets the team in the current configuration and applies that."""
         wanted = messages.Team(
             name=self.argument("team"),
             weight=int(self.option("weight") or 1),
--- a/packages/cicadafold/src/cicadafold/cli/job_commands.py
+++ b/packages/cicadafold/src/cicadafold/cli/job_commands.py
@@ -1,4 +1,4 @@
-"""Commands of callers of jobs: submit, state, cancel, pending, explain."""
+"""Commands for jobs: submit, state, cancel, pending, explain."""
 
 import pathlib
 import secrets
@@ -25,10 +25,10 @@
 ID_BYTES = 8
 OPTIONS = [
     option(
-        "address", None, "IP number and port of an entry host.", flag=False
+        "address", None, "IP address and port of an entry host.", flag=False
     ),
     option("queue-host", None, "Host name of the queue.", flag=False),
-    option("queue-path", None, "Start of the queue's paths.", flag=False),
+    option("queue-path", None, "Prefix of the queue's URL paths.", flag=False),
 ]
 EXIT_CODES = {
     exception.LogUnavailable: client.ExitCode.NOT_RUN,
@@ -36,12 +36,13 @@
     exception.LinkNotOpen: client.ExitCode.UNREACHABLE,
     exception.OutcomeUnknown: client.ExitCode.UNKNOWN,
 }
-# Fields of a log line that are the same for all lines of a job.
+# Log fields that are printed at the start of a line, or that are equal in all
+# lines of a job; the other fields follow as name=value.
 COMMON_FIELDS = ("asctime", "levelname", "member", "message", "request_id")
 
 
 class JobCommand(command.Command):
-    """A command that calls one queue."""
+    """A command that makes one call to a queue."""
 
     options = OPTIONS
 
@@ -63,7 +64,7 @@
             return int(EXIT_CODES.get(type(error), client.ExitCode.FAILED))
 
     def call_queue(self):
-        """Makes the call and returns the exit code."""
+        """Makes the call, prints its result and returns the exit code."""
         raise NotImplementedError
 
 
@@ -76,11 +77,16 @@
     arguments = [argument("file", "Job file in TOML.")]
     options = [
         *OPTIONS,
-        option("id", None, "16 hexadecimal digits; random.", flag=False),
+        option(
+            "id",
+            None,
+            "Job identifier, 16 hexadecimal digits; random by default.",
+            flag=False,
+        ),
     ]
 
     def call_queue(self):
-        """Submits the job."""
+        """Submits the job and prints its identifier."""
         job = self.option("id") or secrets.token_hex(ID_BYTES)
         self.queue_client().submit(job, job_file.load(self.argument("file")))
         self.line(job)
@@ -96,7 +102,7 @@
     arguments = [argument("id", "Identifier of the job.")]
 
     def call_queue(self):
-        """Asks for the state."""
+        """Prints the state, or that the job is not known."""
         state = self.queue_client().state(self.argument("id"))
         self.line(state or "no such job")
         return client.ExitCode.DONE if state else client.ExitCode.FAILED
@@ -111,7 +117,7 @@
     arguments = [argument("id", "Identifier of the job.")]
 
     def call_queue(self):
-        """Cancels the job."""
+        """Cancels the job and prints whether it was known."""
         known = self.queue_client().cancel(self.argument("id"))
         self.line("cancelled" if known else "no such job")
         return client.ExitCode.DONE if known else client.ExitCode.FAILED
@@ -125,24 +131,26 @@
     description = "Prints how many jobs of a queue have not started."
 
     def call_queue(self):
-        """Asks for the count."""
+        """Prints the number of jobs that have not started."""
         self.line(str(self.queue_client().pending()))
         return client.ExitCode.DONE
 
 
 @base.register_command
 class JobExplainCommand(command.Command):
-    """Tells from the logs of all hosts what happened to a job."""
+    """Prints the log lines about a job from the log files of the hosts."""
 
     name = "job explain"
-    description = "Tells from logs what happened to a job."
+    description = (
+        "Prints the lines about a job from log files, in order of time."
+    )
     arguments = [
         argument("id", "Identifier of the job."),
-        argument("logs", "Log files of the hosts.", multiple=True),
+        argument("logs", "Log files of the entry hosts.", multiple=True),
     ]
 
     def handle(self):
-        """Prints the lines about the job in the order of time."""
+        """Prints the lines; the command fails if there are none."""
         found = []
         for path in self.argument("logs"):
             found.extend(log_lines_of_job(self.argument("id"), path))
@@ -154,12 +162,22 @@
             )
             when, member = line["asctime"], line.get("member", "")
             self.line(f"{when} {member} {line['message']} {details}".rstrip())
-        done = client.ExitCode.DONE if found else client.ExitCode.FAILED
-        return int(done)
+        exit_code = client.ExitCode.DONE if found else client.ExitCode.FAILED
+        return int(exit_code)
 
 
 def log_lines_of_job(job, path):
-    """Yields the log lines of a file that name a job."""
+    """Yields the log lines about a job.
+
+    Lines that are not JSON, or that have no time, are skipped.
+
+    Args:
+        job: Identifier of the job.
+        path: Path of a log file.
+
+    Yields:
+        The fields of a log line, as a dictionary.
+    """
     with pathlib.Path(path).open(encoding="utf-8", errors="replace") as lines:
         for text in lines:
             if job not in text:
--- a/packages/cicadafold/src/cicadafold/cli/main.py
+++ b/packages/cicadafold/src/cicadafold/cli/main.py
@@ -1,4 +1,4 @@
-"""Entry point of ``cicadafold``."""
+"""Entry point of the command line ``cicadafold``."""
 
 import sys
 
@@ -29,7 +29,7 @@
 
 
 def main():
-    """Runs the command line."""
+    """Runs the command line and exits with the exit code of the command."""
     sys.exit(make_application().run())
 
 
--- a/packages/cicadafold/src/cicadafold/cli/operator_commands.py
+++ b/packages/cicadafold/src/cicadafold/cli/operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands of operators: cell, drain, burn report, settings check."""
+"""Commands for operators: cell, drain, burn report, settings."""
 
 import pathlib
 
@@ -24,13 +24,13 @@
 
 @base.register_command
 class CellCommand(base.CallCommand):
-    """Shows members, racks and their owners."""
+    """Shows the members of the cell, its racks and their owners."""
 
     name = "cell"
-    description = "Shows members, racks and their owners."
+    description = "Shows the members of the cell, its racks and their owners."
 
     def perform(self):
-        """Asks for the cell."""
+        """Returns the cell as the entry host sees it."""
         return self.call_api("GET", "/v1/cell", messages.Cell)
 
     def text_lines(self, result):
@@ -52,33 +52,38 @@
 
 @base.register_command
 class DrainCommand(base.CallCommand):
-    """Drains an entry host and stops it gracefully."""
+    """Drains an entry host and stops it."""
 
     name = "drain"
-    description = "Drains the entry host that --address names."
+    description = "Drains the entry host at --address and stops it."
 
     def perform(self):
-        """Begins the drain."""
+        """Starts the drain and returns without waiting for its end."""
         return self.call_api("POST", "/v1/drain", messages.DrainReply)
 
     def text_lines(self, result):
-        """Yields the state of the drained member."""
+        """Yields the name of the member and its state."""
         yield f"{result.member}: {result.state}"
 
 
 @base.register_command
 class ReportBurnCommand(base.CallCommand):
-    """Reports service-level burn per kind over several windows."""
+    """Reports for each kind how fast it uses up its error budget."""
 
     name = "report burn"
-    description = "Reports service-level burn per kind."
+    description = "Reports for each kind how fast it uses up its error budget."
     options = [
         *base.COMMON_OPTIONS,
-        option("html", None, "Also write a page to this file.", flag=False),
+        option(
+            "html",
+            None,
+            "HTML file to write the report to as well.",
+            flag=False,
+        ),
     ]
 
     def perform(self):
-        """Asks for the report and writes the page."""
+        """Returns the report, and writes the HTML file if it is asked for."""
         report = self.call_api("GET", "/v1/reports/burn", messages.BurnReport)
         path = self.option("html")
         if path:
@@ -87,7 +92,7 @@
         return report
 
     def text_lines(self, result):
-        """Yields one line for each kind and window."""
+        """Yields a line for each kind, window and member that is missing."""
         for kind in result.kinds:
             yield (
                 f"{kind.kind}: objective {kind.objective_share:.2%} within "
@@ -104,11 +109,11 @@
 
 @base.register_command
 class SettingsCheckCommand(command.Command):
-    """Checks a settings file and lists every fault with its remedy."""
+    """Checks a settings file and lists all invalid settings with remedies."""
 
     name = "settings check"
-    description = "Checks a settings file whole."
-    arguments = [argument("file", "TOML file of an entry host.")]
+    description = "Checks a settings file and lists all its invalid settings."
+    arguments = [argument("file", "Settings file of an entry host, in TOML.")]
 
     def handle(self):
         """Checks the file and returns the exit code."""
@@ -116,17 +121,19 @@
         if result.is_ok():
             self.line("The settings are valid.")
             return int(client.ExitCode.DONE)
-        for fault in result.error:
-            self.line_error(str(fault))
+        for invalid in result.error:
+            self.line_error(str(invalid))
         return int(client.ExitCode.USAGE)
 
 
 @base.register_command
 class SettingsListCommand(command.Command):
-    """Lists all settings as a table in Markdown."""
+    """Prints all settings as a Markdown table."""
 
     name = "settings list"
-    description = "Lists all settings with unit and default."
+    description = (
+        "Prints a Markdown table of all settings with unit and default."
+    )
 
     def handle(self):
         """Prints the table."""
--- a/packages/cicadafold/src/cicadafold/cli/request_commands.py
+++ b/packages/cicadafold/src/cicadafold/cli/request_commands.py
@@ -1,4 +1,4 @@
-"""Commands of callers: submit, wait, status, cancel, explain."""
+"""Commands for single requests: submit, status, wait, cancel, explain."""
 
 import datetime
 import uuid
@@ -22,14 +22,14 @@
 
 
 class AnswerCommand(base.CallCommand):
-    """A command whose result is an answer."""
+    """A command whose result is an ``Answer`` to a request."""
 
     def exit_code(self, result):
-        """Returns an exit code by the outcome."""
+        """Returns the exit code for the outcome of the request."""
         return client.EXIT_BY_OUTCOME.get(result.outcome, client.ExitCode.DONE)
 
     def text_lines(self, result):
-        """Yields the lines of an answer."""
+        """Yields the outcome, and the worker and result if there are any."""
         yield f"{result.request_id}: {result.outcome.value}"
         if result.worker:
             yield f"worker: {result.worker}"
@@ -43,19 +43,36 @@
 
     name = "submit"
     description = "Submits a request and waits for its answer."
-    arguments = [argument("kind", "Kind of work.")]
+    arguments = [argument("kind", "Kind of the request.")]
     options = [
         *base.COMMON_OPTIONS,
-        option("team", None, "Your team.", flag=False),
-        option("payload", None, "Text for the target.", flag=False),
+        option(
+            "team",
+            None,
+            "Team on whose behalf the request is made.",
+            flag=False,
+        ),
+        option(
+            "payload", None, "Text that is passed to the target.", flag=False
+        ),
         option("id", None, "Request id; random by default.", flag=False),
-        option("attempt", None, "2 for a repeated request.", flag=False),
-        option("deadline-ms", None, "Time to the answer.", flag=False),
-        option("no-wait", None, "Return once it is accepted."),
+        option(
+            "attempt",
+            None,
+            "Number of this submission; 2 or more repeats one.",
+            flag=False,
+        ),
+        option(
+            "deadline-ms",
+            None,
+            "Time limit for the answer in ms; by default that of the kind.",
+            flag=False,
+        ),
+        option("no-wait", None, "Return as soon as the request is accepted."),
     ]
 
     def perform(self):
-        """Submits the request."""
+        """Submits the request and returns its answer."""
         submit_request = messages.SubmitRequest(
             request_id=self.option("id") or uuid.uuid4().hex,
             kind=self.argument("kind"),
@@ -71,14 +88,19 @@
 
 
 class RequestCommand(AnswerCommand):
-    """A command on one request."""
+    """A command that makes one call about one request.
+
+    Attributes:
+        method: HTTP method of the call.
+        suffix: End of the URL path, after the request id.
+    """
 
     arguments = [argument("request_id", "Request id.")]
     method = "GET"
     suffix = ""
 
     def perform(self):
-        """Makes the call on the request."""
+        """Makes the call and returns its answer."""
         path = f"/v1/requests/{self.argument('request_id')}{self.suffix}"
         return self.call_api(self.method, path, messages.Answer)
 
@@ -103,29 +125,29 @@
 
 @base.register_command
 class CancelCommand(RequestCommand):
-    """Cancels a request."""
+    """Cancels a request and stops its running tasks."""
 
     name = "cancel"
-    description = "Cancels a request; a running task is stopped."
+    description = "Cancels a request and stops its running tasks."
     method = "POST"
     suffix = "/cancel"
 
 
 @base.register_command
 class ExplainCommand(base.CallCommand):
-    """Tells why a request waits, or where and why it was placed."""
+    """Prints the events of a request: why it waits or where it was placed."""
 
     name = "explain"
-    description = "Tells why a request waits or where it was placed."
+    description = "Prints why a request waits, or where and why it was placed."
     arguments = [argument("request_id", "Request id.")]
 
     def perform(self):
-        """Asks for the events of the request."""
+        """Returns the events of the request."""
         path = f"/v1/requests/{self.argument('request_id')}/explain"
         return self.call_api("GET", path, messages.Explanation)
 
     def text_lines(self, result):
-        """Yields one line for each event."""
+        """Yields one line for each event, with its time in UTC."""
         for event in result.events:
             at = datetime.datetime.fromtimestamp(
                 event.at_ms / MILLISECONDS_PER_S, tz=datetime.UTC
--- a/packages/cicadafold/src/cicadafold/service/__init__.py
+++ b/packages/cicadafold/src/cicadafold/service/__init__.py
@@ -1,1 +1,1 @@
-"""Calls of callers, operators and peers over HTTP with JSON."""
+"""HTTP API of an entry host for callers, operators and peers."""
--- a/packages/cicadafold/src/cicadafold/service/app.py
+++ b/packages/cicadafold/src/cicadafold/service/app.py
@@ -1,4 +1,4 @@
-"""Builds the HTTP application: roles, typed errors, draining."""
+"""Builds the HTTP application: routes, authorization and error replies."""
 
 import hmac
 
@@ -24,7 +24,12 @@
 
 
 class Authorizer:
-    """Checks the token of each call against the settings."""
+    """Checks that the token of a call has the role that the call requires.
+
+    Args:
+        settings: Settings of the process, with the token of each role. A
+            role without a token is open to every call.
+    """
 
     def __init__(self, *, settings):
         self.tokens = {
@@ -34,13 +39,17 @@
         }
 
     def check(self, role, request):
-        """Refuses a call whose token does not have the role.
+        """Checks the token of a call.
+
+        The token of operators is accepted for the calls of callers too.
 
-        Operators may make the calls of callers.
+        Args:
+            role: Role that the call requires.
+            request: HTTP request.
 
         Raises:
-            Unauthorized: No token came with the call.
-            Forbidden: The token is not one of the role.
+            Unauthorized: The call has no token.
+            Forbidden: The token does not have the role.
         """
         wanted = self.tokens.get(role, "")
         if not wanted:
@@ -63,12 +72,22 @@
 
 
 def tokens_equal(given, token):
-    """Compares secrets in constant time."""
+    """Whether two tokens are equal, compared in constant time."""
     return hmac.compare_digest(given.encode(), token.encode())
 
 
 def make_endpoint(node, authorizer, call):
-    """Returns the handler that aiohttp calls for a registered call."""
+    """Returns the handler that aiohttp runs for a registered call.
+
+    Calls of callers and operators are counted in ``node.in_flight``, as a
+    drain waits for them. A draining process closes the connection after its
+    reply, so that later calls go to another entry host.
+
+    Args:
+        node: This process.
+        authorizer: Checks the token of the call.
+        call: Registered call.
+    """
     is_counted = call.role in (Role.CALLER, Role.OPERATOR)
 
     async def endpoint(request):
@@ -83,7 +102,9 @@
         except (web.HTTPException, ConnectionError):
             raise
         except Exception as error:
-            LOG.exception("%s failed.", request.path)
+            LOG.exception(
+                "%s failed; answering with an internal error.", request.path
+            )
             reply = error_response(internal_error(error))
         finally:
             node.in_flight -= is_counted
@@ -95,7 +116,7 @@
 
 
 def error_response(error):
-    """Returns an error as an HTTP reply."""
+    """Returns the HTTP response for an exception of this project."""
     headers = {}
     if error.retry_after_ms is not None:
         seconds = -(-int(error.retry_after_ms) // 1000)
@@ -106,25 +127,29 @@
 
 
 def internal_error(error):
-    """Builds the error of a fault of this program."""
+    """Returns the ``Internal`` error for an unexpected exception."""
     return exception.Internal(
-        message=f"The entry host failed: {type(error).__name__}.",
-        remedy="Ask for the request's status, and report the log line.",
+        message=f"Internal error of the entry host: {type(error).__name__}.",
+        remedy="Query the status of the request, and report the log line.",
     )
 
 
 async def answer_unknown_call(request):
-    """Gives unknown paths and methods the schema's error."""
+    """Answers an unknown path or method with an ``ErrorReply``."""
     return error_response(
         exception.NotFound(
             message=f"There is no call {request.method} {request.path}.",
-            remedy="Use a call of the schema file.",
+            remedy="Use a method and path of openapi.yaml.",
         )
     )
 
 
 def make_app(node):
-    """Builds the application of an entry host."""
+    """Returns the aiohttp application of an entry host.
+
+    Args:
+        node: This process.
+    """
     settings = node.settings
     app = web.Application(client_max_size=settings["limits.max_body_bytes"])
     authorizer = Authorizer(settings=settings)
--- a/packages/cicadafold/src/cicadafold/service/caller_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/caller_calls.py
@@ -1,4 +1,4 @@
-"""Calls of callers: submit, status, wait, cancel, explain."""
+"""API calls of callers: submit, status, wait, cancel, explain."""
 
 import asyncio
 import time
@@ -29,17 +29,30 @@
 
 
 def require_ready(node):
-    """Refuses calls before the whole state has been folded."""
+    """Checks that this process has joined the cell and can serve callers.
+
+    Raises:
+        Starting: The process is still starting.
+    """
     if not node.is_ready():
         raise exception.Starting(
             message="This entry host is starting.",
-            remedy="Submit again after retry_after_ms.",
+            remedy="Make the call again after retry_after_ms.",
             retry_after_ms=clock.MILLISECONDS,
         )
 
 
 def require_kind_and_team(node, submit):
-    """Returns the kind of a request whose team is known too."""
+    """Returns the configured kind of a request.
+
+    Args:
+        node: This process.
+        submit: The caller's request.
+
+    Raises:
+        UnknownKind: The configuration has no such kind.
+        UnknownTeam: The configuration has no such team.
+    """
     kind = node.kind(submit.kind)
     if kind is None:
         raise exception.UnknownKind(
@@ -56,7 +69,10 @@
 
 @registry.call("POST", "/v1/requests", registry.Role.CALLER)
 async def submit(node, request):
-    """Places a request, runs it and answers with its result."""
+    """Runs a request and answers with its result.
+
+    If the caller does not wait, the answer says that it was accepted.
+    """
     start_s = time.perf_counter()
     body = await codec.read_body(request)
     submit_request = codec.decode(SUBMIT_DECODER, body)
@@ -81,7 +97,14 @@
 
 
 def record_answer_metrics(node, kind, answer, elapsed_s):
-    """Records the metrics of an answer."""
+    """Records the metrics of an answered request.
+
+    Args:
+        node: This process.
+        kind: Kind of the request.
+        answer: The answer.
+        elapsed_s: Seconds from the arrival of the call to the answer.
+    """
     metrics = node.metrics
     metrics.count("answers", kind=kind.name, outcome=answer.outcome.value)
     metrics.record_us(
@@ -93,7 +116,19 @@
 
 
 async def run_request(node, submit_request, kind):
-    """Runs a request by the path that its kind asks for."""
+    """Runs a request and returns its answer.
+
+    A request that is durable, a service or not idempotent is recorded on
+    the control log before it is placed; others are placed at once.
+
+    Args:
+        node: This process.
+        submit_request: The caller's request.
+        kind: Its kind.
+
+    Raises:
+        CicadafoldError: The request was not done.
+    """
     budget_ms = submit_request.deadline_ms or kind.deadline_ms
     deadline_ms = clock.monotonic_ms() + budget_ms
     is_service = kind.shape is messages.Shape.service
@@ -112,12 +147,14 @@
 async def recorded_entry(node, request_id):
     """Returns the entry of a recorded request.
 
-    An entry that is not folded here yet is looked for at the log's end,
-    as the request may just have been accepted by another entry host.
+    If the replayed state has no entry, the control log is read to its end
+    first, as another entry host may just have accepted the request.
 
     Raises:
-        UnknownRequest: The ledger has no entry of it.
-        OutcomeUnknown: The log does not answer, so that nobody can tell.
+        Starting: The process is still starting.
+        UnknownRequest: The control log has no record of the request.
+        OutcomeUnknown: The control log did not answer in time, so there may
+            be a record of the request.
     """
     require_ready(node)
     entry = node.tail.state.requests.get(request_id)
@@ -130,15 +167,20 @@
 
 
 def missing_entry_error(confirmed):
-    """Builds the error of a request that the ledger does not show."""
+    """Returns the error for a request without an entry.
+
+    Args:
+        confirmed: Whether the control log has been read to its end.
+    """
     if confirmed:
         return exception.UnknownRequest(
-            message="The ledger has no record of this request.",
-            remedy="Submit it again under the same id with attempt 2.",
+            message="There is no record of this request.",
+            remedy="Submit it again with the same request id and attempt 2.",
         )
     return exception.OutcomeUnknown(
-        message="The log does not answer, and this host has no record.",
-        remedy="Ask again when the log is back.",
+        message="The control log did not answer, and this entry host has no "
+        "record of the request.",
+        remedy="Make the call again after retry_after_ms.",
         retry_after_ms=clock.MILLISECONDS,
     )
 
@@ -151,7 +193,7 @@
 
 
 def status_answer(node, entry):
-    """Returns the state of a recorded request as an answer."""
+    """Returns the state of a recorded request as an ``Answer``."""
     outcome = entry.outcome
     if outcome is None:
         running = entry.request_id in node.coordinator.running
@@ -182,7 +224,11 @@
     "POST", "/v1/requests/{request_id}/cancel", registry.Role.CALLER
 )
 async def cancel(node, request):
-    """Cancels a request; a running task is stopped."""
+    """Cancels a request and stops its running tasks.
+
+    The owners of all racks are called in turn until one has the request, as
+    no record says which rack it was placed on.
+    """
     require_ready(node)
     request_id = request.match_info["request_id"]
     entry = node.tail.state.requests.get(request_id)
@@ -196,18 +242,31 @@
         return codec.json_response(answer_cancellation(node, entry, reply))
     if entry is None:
         raise exception.UnknownRequest(
-            message="No owner of a rack holds this request.",
-            remedy="It has ended, or it was never accepted.",
+            message="No owner of a rack has this request.",
+            remedy="Check the request id; it has ended or was never accepted.",
         )
     raise exception.OutcomeUnknown(
         message="The owner of the request could not be reached.",
-        remedy="Cancel again in a moment.",
+        remedy="Cancel it again after retry_after_ms.",
         retry_after_ms=clock.MILLISECONDS,
     )
 
 
 async def cancel_on_rack(node, rack, request_id, lane):
-    """Asks the owner of a rack to cancel; None if it is not reached."""
+    """Cancels a request at the owner of a rack.
+
+    A redirected request is cancelled at the rack that it was redirected to.
+
+    Args:
+        node: This process.
+        rack: Name of the rack.
+        request_id: Identifier of the request.
+        lane: Priority lane of the call.
+
+    Returns:
+        The owner's reply; None if the rack has no live owner, or if the
+        owner did not answer or no longer owns the rack.
+    """
     owner = node.coordinator.placing.live_owner(rack)
     if owner is None:
         return None
@@ -226,7 +285,15 @@
 
 
 def answer_cancellation(node, entry, reply):
-    """Returns the answer to a cancellation and records it."""
+    """Returns the answer to a cancellation.
+
+    A cancelled request with an entry is recorded as done on the control log.
+
+    Args:
+        node: This process.
+        entry: Entry of the request, or None if it was not recorded.
+        reply: Reply of the owner of the rack.
+    """
     outcome = answers.OUTCOME_BY_STATUS[reply.status]
     request_id = entry.request_id if entry else ""
     if entry is not None and outcome is messages.Outcome.cancelled:
@@ -245,7 +312,10 @@
     "GET", "/v1/requests/{request_id}/explain", registry.Role.CALLER
 )
 async def explain(node, request):
-    """Tells why a request waits, or where and why it was placed."""
+    """Returns the events of a request from all live members, oldest first.
+
+    They say why a request waits, or where and why it was placed.
+    """
     request_id = request.match_info["request_id"]
     found = node.events.events(request_id)
     for events in await asyncio.gather(
@@ -257,8 +327,8 @@
         found.extend(events)
     if not found:
         raise exception.UnknownRequest(
-            message="No member remembers this request.",
-            remedy="Check the request id; old requests are forgotten.",
+            message="No reachable member has events of this request.",
+            remedy="Check the request id; events of old requests are dropped.",
         )
     found.sort(key=lambda event: event.at_ms)
     return codec.json_response(
@@ -267,13 +337,13 @@
 
 
 def alive_peers(node):
-    """Returns the other members that count as alive."""
+    """Returns the other members that are considered alive."""
     members = node.view.alive_members()
     return [m for m in members if not node.view.is_self(m)]
 
 
 async def fetch_peer_events(node, peer, request_id):
-    """Returns what a peer remembers of a request."""
+    """Returns the events of a request from a peer; none if it fails."""
     path = f"/peer/events/{request_id}"
     body = await get_from_peer(node, peer, path)
     if body is None:
@@ -282,7 +352,17 @@
 
 
 async def get_from_peer(node, peer, path):
-    """Returns the body of a peer's answer, or None."""
+    """Makes a GET call to a peer.
+
+    Args:
+        node: This process.
+        peer: Member to call.
+        path: URL path of the call.
+
+    Returns:
+        The body of the reply; None if the peer did not answer within
+        ``PEER_TIMEOUT_S`` or answered with another status than 200.
+    """
     url = f"http://{node.resolve(peer.address)}{path}"
     timeout = aiohttp.ClientTimeout(total=PEER_TIMEOUT_S)
     try:
--- a/packages/cicadafold/src/cicadafold/service/codec.py
+++ b/packages/cicadafold/src/cicadafold/service/codec.py
@@ -1,4 +1,4 @@
-"""Decodes and encodes the schema's messages for HTTP."""
+"""Decodes HTTP bodies to messages of the schema, and encodes replies."""
 
 from aiohttp import web
 import msgspec
@@ -11,7 +11,13 @@
 
 
 def json_response(message, *, status=200, headers=None):
-    """Returns a message as an HTTP reply."""
+    """Returns an HTTP response with a message as its JSON body.
+
+    Args:
+        message: Message to send.
+        status: HTTP status.
+        headers: Additional HTTP headers, or None.
+    """
     return web.Response(
         body=encoder.encode(message),
         status=status,
@@ -21,10 +27,17 @@
 
 
 def decode(decoder, body):
-    """Decodes a body and types its faults.
+    """Decodes the body of a call.
+
+    Args:
+        decoder: Decoder for the message type.
+        body: Body as bytes.
+
+    Returns:
+        The decoded message.
 
     Raises:
-        InvalidCall: A field is unknown, missing or out of its range.
+        InvalidCall: A field is unknown, missing or out of range.
         MalformedCall: The body is not JSON.
     """
     try:
@@ -32,7 +45,7 @@
     except msgspec.ValidationError as error:
         raise exception.InvalidCall(
             message=f"The call does not match the schema: {error}.",
-            remedy="Correct the field that is named.",
+            remedy="Correct the named field.",
         ) from error
     except msgspec.DecodeError as error:
         raise exception.MalformedCall(
@@ -42,15 +55,15 @@
 
 
 async def read_body(request):
-    """Reads a body within the limit.
+    """Returns the body of a call as bytes.
 
     Raises:
-        TooLarge: The body is over the limit.
+        TooLarge: The body exceeds ``limits.max_body_bytes``.
     """
     try:
         return await request.read()
     except web.HTTPRequestEntityTooLarge as error:
         raise exception.TooLarge(
-            message="The body is over the limit.",
-            remedy="Send less, or raise limits.max_body_bytes.",
+            message="The body exceeds the limit of the entry host.",
+            remedy="Send a smaller body, or raise limits.max_body_bytes.",
         ) from error
--- a/packages/cicadafold/src/cicadafold/service/operator_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/operator_calls.py
@@ -1,4 +1,4 @@
-"""Calls of operators: configuration, cell, drain, burn report."""
+"""API calls of operators: configuration, cell, drain, burn report."""
 
 import asyncio
 
@@ -24,13 +24,13 @@
 
 @registry.call("GET", "/v1/configuration", registry.Role.CALLER)
 async def show_configuration(node, request):
-    """Shows the configuration in force on this entry host."""
+    """Returns the configuration in force on this entry host."""
     return codec.json_response(node.tail.state.configuration)
 
 
 @registry.call("GET", "/v1/configuration/history", registry.Role.OPERATOR)
 async def history(node, request):
-    """Lists the accepted changes, newest last."""
+    """Returns the accepted changes of the configuration, newest last."""
     return codec.json_response(
         messages.History(entries=node.tail.state.history)
     )
@@ -38,10 +38,18 @@
 
 @registry.call("POST", "/v1/configuration", registry.Role.OPERATOR)
 async def apply_configuration(node, request):
-    """Replaces the configuration that the change is based on.
-
-    The call is answered once this member has folded the change, so that a
-    lost answer to the append does no harm: the history tells.
+    """Replaces the configuration and returns the one then in force.
+
+    The call is answered after this process has applied the change. If the
+    caller gets no answer, it can repeat the call: a change whose identifier
+    is in the history is not applied again.
+
+    Raises:
+        Starting: The process is still starting.
+        InvalidCall: The new configuration contradicts itself.
+        RevisionConflict: The change is not based on the current revision.
+        LogUnavailable: The change was not appended and never will be.
+        OutcomeUnknown: The change may have been applied.
     """
     body = await codec.read_body(request)
     change = codec.decode(CHANGE_DECODER, body)
@@ -58,24 +66,33 @@
 
 
 def check_configuration(configuration):
-    """Refuses a configuration that contradicts itself."""
+    """Checks a configuration for repeated names and invalid kinds.
+
+    Raises:
+        InvalidCall: The configuration contradicts itself.
+    """
     for values, noun in (
         (configuration.kinds, "kind"),
         (configuration.teams, "team"),
     ):
         names = [value.name for value in values]
-        twice = {name for name in names if names.count(name) > 1}
-        if twice:
+        repeated = {name for name in names if names.count(name) > 1}
+        if repeated:
             raise exception.InvalidCall(
-                message=f"The {noun} {min(twice)!r} is there twice.",
-                remedy=f"Name each {noun} once.",
+                message=f"The {noun} {min(repeated)!r} is defined twice.",
+                remedy=f"Define each {noun} once.",
             )
     for kind in configuration.kinds:
         check_kind(kind)
 
 
 def check_kind(kind):
-    """Refuses a kind whose policy does not exist or makes no sense."""
+    """Checks the placement policy of a kind, and its shape against its tasks.
+
+    Raises:
+        InvalidCall: There is no such policy, or a kind that is no gang has
+            more than one task.
+    """
     if kind.placement not in policies.POLICIES:
         known = ", ".join(sorted(policies.POLICIES))
         raise exception.InvalidCall(
@@ -84,33 +101,43 @@
         )
     if kind.tasks > 1 and kind.shape is not messages.Shape.gang:
         raise exception.InvalidCall(
-            message=f"The kind {kind.name!r} has tasks but is no gang.",
+            message=f"The kind {kind.name!r} has several tasks, but its shape "
+            "is not gang.",
             remedy="Set its shape to gang, or its tasks to 1.",
         )
 
 
 def is_in_history(state, change):
-    """Whether the history holds a change."""
+    """Whether a change is in the history of the configuration."""
     return any(e.change_id == change.change_id for e in state.history)
 
 
 def check_base_revision(state, change):
-    """Refuses a change that is based on another revision."""
+    """Checks that a change is based on the current revision.
+
+    Raises:
+        RevisionConflict: The change is based on another revision.
+    """
     if change.base_revision != state.configuration.revision:
         raise revision_conflict_error(state)
 
 
 def revision_conflict_error(state):
-    """Builds the error of a change that lost a race."""
+    """Returns the error for a change that is based on another revision."""
     current = state.configuration.revision
     return exception.RevisionConflict(
-        message=f"The configuration is at revision {current}.",
-        remedy="Show it, merge your change, and apply it on that base.",
+        message=f"The current revision is {current}, not that of the change.",
+        remedy="Merge the change into the current revision and apply that.",
     )
 
 
 async def append_change(node, change):
-    """Appends a change and waits until it is folded here."""
+    """Appends a change to the control log and waits until it is applied here.
+
+    Raises:
+        LogUnavailable: The change was not appended and never will be.
+        OutcomeUnknown: The change may have been appended.
+    """
     record = records.Change(
         change_id=change.change_id,
         base_revision=change.base_revision,
@@ -131,17 +158,17 @@
 
 
 def change_unconfirmed_error():
-    """Builds the error of a change that may yet be in force."""
+    """Returns the error for a change that may have been applied."""
     return exception.OutcomeUnknown(
-        message="The log did not confirm the change.",
-        remedy="Apply the same change id again; it is applied once.",
+        message="The control log did not confirm the change in time.",
+        remedy="Repeat it with the same change id; it is applied once.",
         retry_after_ms=clock.MILLISECONDS,
     )
 
 
 @registry.call("GET", "/v1/cell", registry.Role.OPERATOR)
 async def cell(node, request):
-    """Shows members, racks and their owners."""
+    """Returns the members, the racks and their owners, as seen here."""
     state = node.tail.state
     return codec.json_response(
         messages.Cell(
@@ -161,7 +188,7 @@
 
 
 def describe_member(node, member):
-    """Returns the row of one member."""
+    """Returns a member with its state: alive, draining or gone."""
     state = "alive" if node.view.is_alive(member) else "gone"
     if state == "alive" and node.view.is_draining(member):
         state = "draining"
@@ -175,7 +202,7 @@
 
 
 def describe_rack(node, rack):
-    """Returns the row of one rack."""
+    """Returns a rack with its owner and the figures of its last digest."""
     owner = node.tail.state.owners.get(rack.name)
     digest = node.view.digests.get(rack.name)
     return messages.Rack(
@@ -191,7 +218,7 @@
 
 @registry.call("POST", "/v1/drain", registry.Role.OPERATOR)
 async def drain(node, request):
-    """Drains this entry host and stops it gracefully."""
+    """Starts the drain of this entry host, after which it stops."""
     node.stop_requested.set()
     return codec.json_response(
         messages.DrainReply(member=node.name, state="draining"), status=202
@@ -200,7 +227,7 @@
 
 @registry.call("GET", "/v1/reports/burn", registry.Role.OPERATOR)
 async def report_burn(node, request):
-    """Reports service-level burn over all reachable entry hosts."""
+    """Returns the burn report merged over all reachable entry hosts."""
     reports = [local_burn_report(node)]
     unreachable = []
     peers = caller_calls.alive_peers(node)
@@ -219,5 +246,5 @@
 
 
 def local_burn_report(node):
-    """Returns this member's own burn report."""
+    """Returns the burn report of the answers of this process."""
     return node.burn.report(node.name, node.tail.state.configuration.kinds)
--- a/packages/cicadafold/src/cicadafold/service/peer_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls of peers, and the pages for balancers and monitoring."""
+"""API calls of peers, load balancers and monitoring."""
 
 from aiohttp import web
 from cicadafold_schema import messages
@@ -13,20 +13,20 @@
 
 @registry.call("GET", "/peer/link", registry.Role.PEER)
 async def link(node, request):
-    """Serves a link that carries dispatches."""
+    """Serves a link over which a peer dispatches requests."""
     return await server.serve_link(request, node.racks)
 
 
 @registry.call("POST", "/peer/gossip", registry.Role.PEER)
 async def gossip(node, request):
-    """Exchanges heartbeats and digests."""
+    """Receives heartbeats and digests of a peer and answers with ours."""
     body = node.gossiper.answer(await codec.read_body(request))
     return web.Response(body=body, content_type="application/json")
 
 
 @registry.call("GET", "/peer/events/{request_id}", registry.Role.PEER)
 async def events(node, request):
-    """Returns the events of a request that this member remembers."""
+    """Returns the events of a request that this process has recorded."""
     request_id = request.match_info["request_id"]
     found = node.events.events(request_id)
     return codec.json_response(
@@ -36,13 +36,13 @@
 
 @registry.call("GET", "/peer/burn", registry.Role.PEER)
 async def burn(node, request):
-    """Returns this member's own burn report."""
+    """Returns the burn report of the answers of this process."""
     return codec.json_response(operator_calls.local_burn_report(node))
 
 
 @registry.call("GET", "/healthz", registry.Role.ANYONE)
 async def health(node, request):
-    """Tells the balancer whether to send new connections here."""
+    """Answers health checks with 200 if calls are accepted, else with 503."""
     if node.view.draining:
         return web.Response(status=503, text="draining")
     if not node.is_ready():
@@ -52,7 +52,7 @@
 
 @registry.call("GET", "/metrics", registry.Role.ANYONE)
 async def metrics_page(node, request):
-    """Shows the metrics in the Prometheus text format."""
+    """Returns the metrics in the Prometheus text format."""
     gauges = {
         "log_offset": node.tail.state.offset,
         "configuration_revision": node.tail.state.configuration.revision,
--- a/packages/cicadafold/src/cicadafold/service/registry.py
+++ b/packages/cicadafold/src/cicadafold/service/registry.py
@@ -1,4 +1,4 @@
-"""Registry of calls, filled by a decorator."""
+"""Registry of the API calls, filled by the decorator ``call``."""
 
 import enum
 
@@ -10,7 +10,7 @@
 
 
 class Role(enum.Enum):
-    """Who may make a call."""
+    """Role that a token must have for a call; ANYONE needs no token."""
 
     CALLER = "caller"
     OPERATOR = "operator"
@@ -19,7 +19,14 @@
 
 
 class Call(msgspec.Struct, kw_only=True):
-    """A registered call."""
+    """A registered call.
+
+    Attributes:
+        method: HTTP method.
+        path: Path in the syntax of aiohttp's router.
+        role: Role that the call requires.
+        handler: Coroutine function of the process and the HTTP request.
+    """
 
     method: str
     path: str
@@ -28,12 +35,14 @@
 
 
 def call(method, path, role):
-    """Registers a handler that takes the node and the HTTP request.
+    """Returns a decorator that registers the handler of a call.
+
+    The handler is a coroutine function of the process and the HTTP request.
 
     Args:
         method: HTTP method.
         path: Path in the syntax of aiohttp's router.
-        role: Role that the call's token must have.
+        role: Role that the call requires.
     """
 
     def register(handler):
