--- a/packages/cicadafold/src/cicadafold/ownership/__init__.py
+++ b/packages/cicadafold/src/cicadafold/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Who may give work to a rack, and how its owner does it."""
+"""Ownership of racks, and how a rack's owner runs requests on workers."""
--- a/packages/cicadafold/src/cicadafold/ownership/admission.py
+++ b/packages/cicadafold/src/cicadafold/ownership/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is started, sent on, queued or refused."""
+"""Decides whether a request is started, redirected, queued or refused."""
 
 import asyncio
 import functools
@@ -16,7 +16,16 @@
 
 
 def admit(owner, request, *, hops):
-    """Starts, redirects, queues or refuses a request."""
+    """Starts, redirects, queues or refuses a request.
+
+    The request is started if it fits now, redirected if another rack has
+    free capacity, and queued if it can still end before its deadline.
+
+    Args:
+        owner: ``RackOwner`` of the rack.
+        request: ``RackRequest`` that has no tasks.
+        hops: How often the request was redirected.
+    """
     if starting.try_start(owner, request):
         return
     rack = find_other_rack(owner, request, hops)
@@ -31,12 +40,15 @@
     owner.lanes.push(request)
     owner.node.events.add(
         request.request_id,
-        f"Queued at {owner.name} behind {len(owner.lanes) - 1} requests.",
+        f"Queued for {owner.name} behind {len(owner.lanes) - 1} requests.",
     )
 
 
 def find_other_rack(owner, request, hops):
-    """Returns a rack that has room now, or None."""
+    """Returns another rack with free capacity for a request, or None.
+
+    A request that was redirected before, or that may have run here, stays.
+    """
     if hops or request.may_have_run:
         return None
     wait_ms = estimates.expected_wait_ms(owner, request)
@@ -46,18 +58,22 @@
 
 
 def redirect_to(owner, request, rack):
-    """Redirects the sender to another rack."""
+    """Redirects the senders of a request to another rack.
+
+    Later dispatches of the request are redirected to it as well.
+    """
     del owner.requests[request.request_id]
     owner.redirected[request.request_id] = rack
     owner.schedule_expiry(request)
     owner.node.events.add(
-        request.request_id, f"{owner.name} is full. Sent on to {rack}."
+        request.request_id,
+        f"{owner.name} has no free capacity. Redirected to {rack}.",
     )
     request.finish(Status.REDIRECT, rack=rack)
 
 
 def set_deadline(owner, request):
-    """Arms the timer that answers by the deadline."""
+    """Starts the timer that answers a request at its deadline."""
     delay_s = (request.deadline_ms - clock.monotonic_ms()) / clock.MILLISECONDS
     loop = asyncio.get_running_loop()
     request.timer = loop.call_later(
@@ -66,7 +82,11 @@
 
 
 def on_deadline(owner, request):
-    """Gives the final answer of work whose deadline has passed."""
+    """Gives the final answer to a request whose deadline has passed.
+
+    A queued request is refused. For any other one the stop of its tasks is
+    requested and the answer is ``UNKNOWN``.
+    """
     if request.reply is not None:
         return
     if request.state is State.QUEUED:
@@ -80,6 +100,6 @@
     request.finish(
         Status.UNKNOWN,
         started=True,
-        text="The deadline passed while the request was on a target.",
+        text="The deadline passed before the outcome was known.",
     )
     owner.schedule_expiry(request)
--- a/packages/cicadafold/src/cicadafold/ownership/assignment.py
+++ b/packages/cicadafold/src/cicadafold/ownership/assignment.py
@@ -1,4 +1,6 @@
-"""Which member should own a rack: a pure function of what is known.
+"""Preferred owner of a rack, computed from the known members alone.
+
+Members that know the same members and owners choose the same one.
 
 References:
     D. Thaler, C. Ravishankar: Using name-based mappings to increase hit
@@ -13,7 +15,7 @@
 
 
 def rendezvous_weight(key, member):
-    """Returns the weight of a member for a key.
+    """Returns the rendezvous hashing weight of a member for a key.
 
     Examples:
         >>> a = rendezvous_weight("rack-1", "entry-1")
@@ -28,24 +30,25 @@
 def preferred_owner(*, rack, failure_domain, region, members, owned):
     """Returns the member that should own a rack.
 
-    Members of the rack's region go first, then those of its failure
-    domain, then those that own the fewest racks.
+    Only members of the rack's region qualify. Those in its failure domain
+    come first, then those that own the fewest racks; the rendezvous weight
+    decides between equals.
 
     Args:
         rack: Name of the rack.
         failure_domain: Failure domain of the rack.
         region: Region of the rack.
-        members: Members that live and are not draining.
+        members: Members that are alive and not draining.
         owned: Map from member name to the number of racks it owns.
 
     Returns:
-        The member, or None if there is none.
+        The member, or None if the region has no member.
     """
-    near = [member for member in members if member.region == region]
-    if not near:
+    regional = [member for member in members if member.region == region]
+    if not regional:
         return None
     return min(
-        near,
+        regional,
         key=lambda member: (
             member.failure_domain != failure_domain,
             owned.get(member.name, 0),
--- a/packages/cicadafold/src/cicadafold/ownership/completion.py
+++ b/packages/cicadafold/src/cicadafold/ownership/completion.py
@@ -1,4 +1,4 @@
-"""From the ends of tasks to the one answer of their request."""
+"""Completes requests: derives the one answer from the ends of all tasks."""
 
 import asyncio
 
@@ -24,7 +24,13 @@
 
 
 def on_task_end(owner, task, end):
-    """Collects the end of a task and concludes the request."""
+    """Records the end of a task and completes its request if it was the last.
+
+    Args:
+        owner: ``RackOwner`` of the rack.
+        task: ``TargetTask`` that has ended.
+        end: Its ``TaskEnd``.
+    """
     request = owner.requests.get(task_ids.request_id_of(task.task_id))
     if request is None or request.tasks.get(task.task_id) is not task:
         starting.dispatch_queued(owner)
@@ -40,7 +46,10 @@
 
 
 def record_run(owner, task, end, request):
-    """Learns run times and which workers fail everything."""
+    """Updates the mean run times and the failure count of the worker.
+
+    Ends without a report tell nothing about either and are ignored.
+    """
     if end.reason is not Reason.REPORTED:
         return
     run_ms = clock.monotonic_ms() - task.sent_ms
@@ -53,9 +62,13 @@
 
 
 def collect(owner, request):
-    """Concludes once all tasks ended; stops a gang that broke."""
-    broken = any(not is_done(end) for _, end in request.ends.values())
-    if broken:
+    """Completes a request once all its tasks have ended.
+
+    If a task of a gang ended without a result, the stop of the others is
+    requested.
+    """
+    unsuccessful = any(not is_done(end) for _, end in request.ends.values())
+    if unsuccessful:
         for task in request.tasks.values():
             task.link.request_stop(task)
     if not request.tasks:
@@ -63,7 +76,10 @@
 
 
 def complete(owner, request):
-    """Answers for a request whose tasks have all ended."""
+    """Answers a request whose tasks have all ended, or queues it again.
+
+    A request is queued again if none of its tasks was started.
+    """
     ends = [end for _, end in request.ends.values()]
     if all(is_done(end) for end in ends):
         finish_with_results(owner, request)
@@ -77,7 +93,7 @@
 
 
 def finish_with_results(owner, request):
-    """Answers with the results of all tasks."""
+    """Answers a request with the results of its tasks, in order of index."""
     ordered = sorted(
         request.ends.values(),
         key=lambda pair: task_ids.index_of(pair[0].task_id),
@@ -92,7 +108,13 @@
 
 
 def complete_unsuccessful(owner, request, ends):
-    """Repeats idempotent work; answers truthfully for the rest."""
+    """Handles a request of which at least one task ended without a result.
+
+    An idempotent request is run again until it has failed ``MAX_FAILURES``
+    times. Any other one is answered as failed if a task has just failed. If
+    its outcome is not known, it is held while an unreachable worker may
+    still report it, and answered as unknown otherwise.
+    """
     request.may_have_run = True
     failed = any(is_failed(end) for end in ends)
     request.failures += failed
@@ -114,11 +136,11 @@
 
 
 async def requeue_when_confirmed(owner, request):
-    """Places work again once no other owner can be running it.
+    """Queues a held request again once no other owner can be running it.
 
-    A lease that has lapsed here may have been renewed by a newer
-    owner that this process has not heard of. A read of the log that
-    begins after the lapse and shows no newer claim rules that out.
+    A lease that has lapsed by this owner's record may have been renewed by
+    a newer owner that this process does not know yet. A read of the control
+    log that starts after the lapse and shows no newer claim rules that out.
     """
     while request.state is State.HELD and request.reply is None:
         if await owner.node.confirm_owner(owner):
@@ -129,7 +151,10 @@
 
 
 def result_may_arrive(owner, request):
-    """Whether an unreachable worker may still report the result."""
+    """Whether a worker that is unreachable now may still report a result.
+
+    Only tasks whose leases have lapsed count.
+    """
     return any(
         end.reason is Reason.LAPSED
         and task.link is not None
@@ -139,27 +164,37 @@
 
 
 def requeue(owner, request):
-    """Queues work again whose tasks are surely not running."""
+    """Admits a request again of which no task can be running.
+
+    An owner that has retired answers ``MOVED`` instead.
+    """
     if owner.retired:
         request.finish(Status.MOVED, started=request.may_have_run)
         return
     owner.node.events.add(
-        request.request_id, f"Not running on {owner.name}. Placed again."
+        request.request_id,
+        f"No task is running in {owner.name}. Admitted again.",
     )
     admission.admit(owner, request, hops=1 if request.may_have_run else 0)
 
 
 def update_mean(means, key, value):
-    """Moves a running mean towards a new value."""
-    known = means.get(key)
-    if known is None:
+    """Updates an exponential moving mean with a new value.
+
+    Args:
+        means: Map from key to mean; the first value of a key is its mean.
+        key: Key of the mean.
+        value: New value, with weight ``MEAN_WEIGHT``.
+    """
+    mean = means.get(key)
+    if mean is None:
         means[key] = value
     else:
-        means[key] = known + MEAN_WEIGHT * (value - known)
+        means[key] = mean + MEAN_WEIGHT * (value - mean)
 
 
 def is_done(end):
-    """Whether a task ended with a result."""
+    """Whether a worker reported that a task ended with a result."""
     return (
         end.reason is Reason.REPORTED
         and end.report.state is platform.TaskState.DONE
@@ -167,7 +202,7 @@
 
 
 def is_failed(end):
-    """Whether a task's target reported a failure."""
+    """Whether a worker reported that a task failed."""
     return (
         end.reason is Reason.REPORTED
         and end.report.state is platform.TaskState.FAILED
--- a/packages/cicadafold/src/cicadafold/ownership/rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack.py
@@ -1,4 +1,4 @@
-"""The owner's side of one rack: admission, queue, starts and answers."""
+"""Owner of one rack: admission, queue, starts and answers of requests."""
 
 import asyncio
 import collections
@@ -38,13 +38,37 @@
 
 
 class RackOwner:
-    """Gives work to the workers of one rack under one term.
+    """Runs requests on the workers of one rack in one term.
 
-    Attributes:
+    Args:
+        name: Name of the rack.
+        term: Term, raised as the fence at each worker.
+        hosts: The platform's list of the rack's workers.
         node: The services of this process that the owner needs.
-        works: Requests by id, kept for a while after their end.
-        redirected: Racks that requests were sent on to.
-        doubtful: Requests that an earlier dispatch may have started.
+
+    Attributes:
+        requests: ``RackRequest`` by identifier, kept until
+            ``RETAIN_ANSWERS_S`` after its answer.
+        redirected: Names of the racks that requests were redirected to, by
+            request identifier.
+        unresolved: Held requests that an earlier dispatch may have started,
+            by identifier, until the workers' inventories tell.
+        lanes: Queued requests.
+        links: ``TargetLink`` of each worker, by name of the worker.
+        link_tasks: Tasks that run the links, by name of the worker.
+        recovered: Tasks found on workers before their requests were
+            dispatched here.
+        retired: Whether the owner starts nothing any more.
+        started_ms: Monotonic time in milliseconds of the term's start.
+        mean_run_ms: Mean run time in milliseconds by lane.
+        kind_run_ms: Mean run time in milliseconds by name of the kind.
+        held_cores: Cores that patient tasks use, by team.
+        expiries: Pairs of monotonic time in milliseconds and answered
+            request to remove then, in order of time.
+        digest_serial: Serial number of the last digest that changed or was
+            repeated.
+        last_digest: That digest.
+        digest_ms: Its monotonic time in milliseconds.
     """
 
     def __init__(self, *, name, term, hosts, node):
@@ -72,7 +96,14 @@
     # Workers.
 
     def update_hosts(self, hosts):
-        """Follows the platform's list of the rack's workers."""
+        """Applies the platform's list of the rack's workers.
+
+        A new worker gets a link. No tasks are started on a worker that is
+        leaving, nor on one that the control log does not list for the rack.
+
+        Args:
+            hosts: ``HostEntry`` of each worker of the rack.
+        """
         recorded = self.node.recorded_hosts(self.name)
         for host in hosts:
             link = self.links.get(host.name)
@@ -80,7 +111,10 @@
                 link = self.add_link(host)
             leaving = host.state is platform.HostState.LEAVING
             if leaving and not link.leaving:
-                LOG.info("%s is leaving. It gets no new work.", host.name)
+                LOG.info(
+                    "Worker %s is leaving; no new tasks are started on it.",
+                    host.name,
+                )
             link.leaving = leaving
             if host.name in recorded and not link.recorded:
                 link.recorded = True
@@ -89,7 +123,7 @@
                 )
 
     def add_link(self, host):
-        """Starts the task that looks after a worker."""
+        """Returns the link of a new worker, whose task is started."""
         link = target_link.TargetLink(
             host=host,
             client=self.node.target_client(host.address),
@@ -101,23 +135,26 @@
         return link
 
     async def record_hosts(self):
-        """Records new workers before they are given work."""
+        """Records new workers in the control log, if there are any."""
         if all(link.recorded for link in self.links.values()):
             return
         hosts = [link.host for link in self.links.values()]
         await self.node.record_hosts(self, hosts)
 
     def on_link_ready(self, link):
-        """Looks at held and waiting work after a worker is ready."""
+        """Resolves unresolved requests and starts queued ones.
+
+        Called when a worker has been fenced and inventoried.
+        """
         self.resolve_requests()
         starting.dispatch_queued(self)
 
     def on_inventory(self, link, report):
-        """Takes a task that a worker was found to hold."""
+        """Records a task of an inventory that the link did not track."""
         self.recovered.add(link, report)
 
     def on_running(self, task):
-        """Answers for a service once its target reports it running."""
+        """Answers the senders of a service that its target reports running."""
         request = self.requests.get(task_ids.request_id_of(task.task_id))
         if request is None or request.kind.shape is not messages.Shape.service:
             return
@@ -129,20 +166,33 @@
             )
 
     def on_task_end(self, task, end):
-        """Takes the end of a task."""
+        """Records the end of a task and may complete its request."""
         completion.on_task_end(self, task, end)
 
     def on_fenced(self, link):
-        """Retires: a newer owner has raised the fence."""
+        """Has this owner retired, as a newer one has fenced a worker."""
         if not self.retired:
-            LOG.warning("%s was taken over by a newer owner.", self.name)
+            LOG.warning(
+                "A newer owner has fenced a worker of rack %s; "
+                "this owner retires.",
+                self.name,
+            )
             self.node.on_superseded(self)
 
     # Admission.
 
     def submit(self, frame, send):
-        """Takes a dispatch; the reply is sent once the work has ended."""
-        began = time.perf_counter()
+        """Handles a dispatch; the reply is sent once the request has ended.
+
+        A dispatch of a known request only adds its sender. Other requests are
+        admitted, unless an earlier dispatch may have started them: these are
+        resolved by the inventories first.
+
+        Args:
+            frame: The ``Dispatch``.
+            send: Function that sends a reply frame.
+        """
+        began_s = time.perf_counter()
         responder = (frame.serial, send)
         if self.retired:
             send(frames.Reply(serial=frame.serial, status=Status.MOVED))
@@ -160,7 +210,7 @@
             refuse(
                 responder,
                 messages.ErrorCode.unknown_kind,
-                "The kind is not in the configuration here.",
+                "The configuration of this process lacks the kind.",
             )
             return
         request = self.new_request(frame, kind, responder)
@@ -171,11 +221,17 @@
             self.resolve_requests()
         else:
             admission.admit(self, request, hops=frame.hops)
-            own_us = (time.perf_counter() - began) * MICROSECONDS
+            own_us = (time.perf_counter() - began_s) * MICROSECONDS
             request.decision_us = int(frame.spent_us + own_us)
 
     def new_request(self, frame, kind, responder):
-        """Returns the work of a dispatch, held until it is settled."""
+        """Returns the request of a dispatch, in state ``HELD``.
+
+        Args:
+            frame: The ``Dispatch``.
+            kind: Kind of the request.
+            responder: Serial number and function that sends the reply.
+        """
         request = rack_requests.RackRequest(
             request_id=frame.request_id,
             kind=kind,
@@ -191,11 +247,11 @@
         return request
 
     def retry(self, request, earlier):
-        """Takes up idempotent work whose last outcome was unknown.
+        """Runs an idempotent request again whose last outcome was unknown.
 
         Args:
-            work: The work of the new dispatch.
-            earlier: The work that was answered as unknown.
+            request: The request of the new dispatch.
+            earlier: The request that was answered as unknown.
         """
         request.may_have_run = earlier.may_have_run
         request.failed_workers = earlier.failed_workers
@@ -208,7 +264,12 @@
         self.resolve_requests()
 
     def locate(self, frame, send):
-        """Tells whether this rack knows a request."""
+        """Answers whether this rack knows a request.
+
+        Args:
+            frame: The ``Locate``.
+            send: Function that sends a reply frame.
+        """
         rack = self.redirected.get(frame.request_id)
         known = frame.request_id in self.requests
         if self.retired:
@@ -228,7 +289,10 @@
         send(frames.Reply(serial=frame.serial, status=status, rack=rack or ""))
 
     def attach(self, request, responder):
-        """Adds a sender to a request that is already known."""
+        """Adds a sender to a known request, or answers it at once.
+
+        For a service with tasks the targets are asked whether these still run.
+        """
         request.responders.append(responder)
         if request.reply is not None:
             status, fields = request.reply
@@ -239,14 +303,14 @@
                 task.link.renewal_wanted.set()
 
     def all_inventoried(self):
-        """Whether every worker was inventoried under this term."""
+        """Whether the inventory of every worker was read in this term."""
         return all(link.inventoried for link in self.links.values())
 
     def resolve_requests(self):
-        """Settles doubtful work by what the workers say.
+        """Resolves the unresolved requests by the workers' inventories.
 
-        A task that was found settles it at once; an absence only once
-        every worker was inventoried.
+        A task that was found may resolve its request at once. That a request
+        has no tasks is known only once every worker was inventoried.
         """
         if not self.all_inventoried():
             for request in list(self.unresolved.values()):
@@ -259,7 +323,12 @@
                 self.resolve_request(request)
 
     def resolve_request(self, request):
-        """Settles work that an earlier dispatch may have started."""
+        """Resolves one request after all workers were inventoried.
+
+        Its tasks are assigned to it if there are any. Otherwise it is admitted
+        if it is idempotent or has certainly not run, and answered as unknown
+        if a worker was restarted since it may first have been started.
+        """
         if self.recovered.assign_to(request):
             return
         if request.kind.idempotent or self.no_restart_since(
@@ -274,15 +343,24 @@
         )
         self.schedule_expiry(request)
 
-    def no_restart_since(self, earliest_start_ms):
-        """Whether no worker has been restarted since a time."""
-        return all(
-            link.up_since_ms <= earliest_start_ms
-            for link in self.links.values()
-        )
+    def no_restart_since(self, time_ms):
+        """Whether no worker was restarted after a time.
+
+        Args:
+            time_ms: Monotonic time in milliseconds.
+        """
+        return all(link.up_since_ms <= time_ms for link in self.links.values())
 
     def cancel(self, frame, send):
-        """Cancels a request; the reply tells whether it had started."""
+        """Cancels a request; the reply tells whether it may have started.
+
+        If it has tasks, their stop is requested and the reply is sent once
+        they have ended.
+
+        Args:
+            frame: The ``CancelFrame``.
+            send: Function that sends a reply frame.
+        """
         request = self.requests.get(frame.request_id)
         responder = (frame.serial, send)
         if request is None:
@@ -293,7 +371,7 @@
             refuse(
                 responder,
                 messages.ErrorCode.unknown_request,
-                "The request is not held here.",
+                "The owner of the rack does not know the request.",
             )
             return
         request.responders.append(responder)
@@ -311,10 +389,14 @@
         request.finish(Status.CANCELLED, started=request.may_have_run)
         self.schedule_expiry(request)
 
-    # Upkeep.
+    # Maintenance.
 
     async def run(self):
-        """Forgets old answers until the owner is retired."""
+        """Maintains the rack until the owner is retired.
+
+        Every ``MAINTENANCE_PERIOD_S`` new workers are recorded, expired
+        answers removed, requests resolved and queued ones started.
+        """
         while not self.retired:
             await self.record_hosts()
             await asyncio.sleep(MAINTENANCE_PERIOD_S)
@@ -323,12 +405,20 @@
             starting.dispatch_queued(self)
 
     def schedule_expiry(self, request):
-        """Keeps an answer for a while, for senders that ask again."""
+        """Schedules the removal of an answered request.
+
+        It is kept for ``RETAIN_ANSWERS_S`` for senders that ask again.
+        """
         due_ms = clock.monotonic_ms() + RETAIN_ANSWERS_S * clock.MILLISECONDS
         self.expiries.append((due_ms, request))
 
     def remove_expired(self):
-        """Forgets answers that were kept for long enough."""
+        """Removes the answered requests whose time is over.
+
+        A recorded request that has no outcome on the control log yet is kept
+        for another ``RETAIN_ANSWERS_S``. Recovered tasks of closed requests
+        are discarded once the term is older than the deduplication window.
+        """
         now_ms = clock.monotonic_ms()
         if now_ms - self.started_ms > fold.DEDUPLICATION_WINDOW_MS:
             self.recovered.discard_closed()
@@ -340,7 +430,7 @@
             self.remove(request)
 
     def remove(self, request):
-        """Forgets an answer and frees the results on the targets."""
+        """Removes a request and acknowledges the ends of its tasks."""
         self.redirected.pop(request.request_id, None)
         if self.requests.get(request.request_id) is not request:
             return
@@ -350,36 +440,44 @@
                 task.link.to_acknowledge.append(task.task_id)
 
     def digest(self):
-        """Returns the figures that other members route by."""
+        """Returns the load digest of the rack, by which others route requests.
+
+        The serial number rises if a figure changed or if the last digest is
+        older than ``DIGEST_REPEAT_MS``.
+        """
         links = [link for link in self.links.values() if link.is_available()]
         headroom = self.node.headroom_slots()
-        free = sum(max(0, link.capacity.free_slots) for link in links)
-        spare = sum(
+        free_slots = sum(max(0, link.capacity.free_slots) for link in links)
+        patient_slots = sum(
             max(0, link.capacity.free_slots - headroom) for link in links
         )
         waiting = len(self.lanes)
         mean_ms = self.mean_run_ms[messages.Lane.patient]
         slots = sum(link.capacity.slots for link in links) or 1
-        found = gossip.Digest(
+        digest = gossip.Digest(
             rack=self.name,
             term=self.term,
             serial=self.digest_serial,
-            free_slots=max(0, free - self.lanes.urgent_count),
-            patient_slots=max(0, spare - waiting),
+            free_slots=max(0, free_slots - self.lanes.urgent_count),
+            patient_slots=max(0, patient_slots - waiting),
             queued=waiting,
             wait_ms=int(waiting * mean_ms / slots),
         )
         now_ms = clock.monotonic_ms()
         stale = now_ms - self.digest_ms > DIGEST_REPEAT_MS
-        if found != self.last_digest or stale:
+        if digest != self.last_digest or stale:
             self.digest_ms = now_ms
             self.digest_serial += 1
-            found.serial = self.digest_serial
-            self.last_digest = msgspec.structs.replace(found)
-        return found
+            digest.serial = self.digest_serial
+            self.last_digest = msgspec.structs.replace(digest)
+        return digest
 
     def retire(self):
-        """Stops giving work; what runs goes on under the next owner."""
+        """Stops starting tasks; running ones continue under the next owner.
+
+        Queued and held requests are answered ``MOVED`` at once, the others if
+        they have not ended within ``RETIRE_GRACE_S``.
+        """
         if self.retired:
             return
         self.retired = True
@@ -394,20 +492,26 @@
         loop.call_later(RETIRE_GRACE_S, self.answer_waiting_senders)
 
     def answer_waiting_senders(self):
-        """Sends those that still wait to the next owner."""
+        """Answers ``MOVED`` to the senders that still wait."""
         for request in self.requests.values():
             if request.reply is None:
                 request.finish(Status.MOVED, started=True)
 
 
 def redirect(responder, rack):
-    """Answers one sender with another rack."""
+    """Redirects one sender to another rack."""
     serial, send = responder
     send(frames.Reply(serial=serial, status=Status.REDIRECT, rack=rack))
 
 
 def refuse(responder, code, text):
-    """Refuses one sender's call."""
+    """Refuses the call of one sender.
+
+    Args:
+        responder: Serial number and function that sends the reply.
+        code: The ``ErrorCode``.
+        text: Reason for the caller.
+    """
     serial, send = responder
     send(
         frames.Reply(
--- a/packages/cicadafold/src/cicadafold/ownership/rack_claimer.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack_claimer.py
@@ -1,7 +1,8 @@
-"""Claims racks that need an owner, and hands racks over.
+"""Claims racks that have no live owner, and hands racks over.
 
-Claims are settled by their order on the log. A claim alone does not give
-the right to start tasks: that comes from the fence at each worker.
+The order of claims on the control log decides which one holds. A claim
+alone does not permit starting tasks: the owner must also have raised its
+term as the fence at each worker.
 """
 
 import asyncio
@@ -23,10 +24,23 @@
 
 
 class RackClaimer:
-    """Keeps the racks of this process in step with the folded state.
+    """Runs the owners of this process's racks, as the control state says.
+
+    Args:
+        node: The services of this process.
 
     Attributes:
-        owners: Running rack owners by rack.
+        owners: ``RackOwner`` of each rack that this process owns, by rack.
+        retiring: The last ``RackOwner`` that was retired, by rack. It may
+            still have requests to answer.
+        owner_tasks: Tasks that run the owners, by rack.
+        ready_since_s: Loop time in seconds since which the control log is
+            applied up to its end, or None.
+        unowned_since_s: Loop time in seconds at which a rack was first
+            found without a live owner, by rack.
+        owned_since_s: Loop time in seconds at which this process last
+            started to own a rack, by rack.
+        draining: Whether all racks are to be handed over.
     """
 
     def __init__(self, *, node):
@@ -40,7 +54,11 @@
         self.draining = False
 
     async def run(self):
-        """Looks after the racks for as long as the process lives."""
+        """Starts, claims and hands over racks until it is cancelled.
+
+        The first claims are made ``FIRST_CLAIM_DELAY_S`` after the control log
+        was first applied up to its end.
+        """
         loop = asyncio.get_running_loop()
         while True:
             if self.node.tail.ready:
@@ -52,7 +70,7 @@
             await self.wait_for_change()
 
     async def wait_for_change(self):
-        """Waits for a change of the state or for the period to pass."""
+        """Waits up to ``CHECK_PERIOD_S`` for a change of the control state."""
         try:
             async with asyncio.timeout(CHECK_PERIOD_S):
                 await self.node.tail.changed.wait()
@@ -60,7 +78,11 @@
             pass
 
     def is_own(self, owner):
-        """Whether the folded state says that this process owns a rack."""
+        """Whether an entry of the control state names this process as owner.
+
+        Args:
+            owner: ``Ownership`` of a rack, or None.
+        """
         return (
             owner is not None
             and owner.member == self.node.name
@@ -68,7 +90,10 @@
         )
 
     def sync_owners(self):
-        """Starts and retires rack owners as the state says."""
+        """Starts and retires rack owners as the control state says.
+
+        Also passes the current list of workers to each owner.
+        """
         state = self.node.tail.state
         for rack, owner in state.owners.items():
             running = self.owners.get(rack)
@@ -82,9 +107,9 @@
             running.update_hosts(hosts.hosts_in_rack(rack))
 
     def start_owner(self, rack, term):
-        """Starts to own a rack."""
+        """Starts the owner of a rack for a term of this process."""
         hosts = self.node.hosts.hosts_in_rack(rack)
-        LOG.info("This member owns %s from term %d.", rack, term)
+        LOG.info("This process owns rack %s from term %d on.", rack, term)
         owner = rack_owner.RackOwner(
             name=rack, term=term, hosts=hosts, node=self.node
         )
@@ -93,26 +118,30 @@
         self.owner_tasks[rack] = asyncio.create_task(owner.run())
 
     def retire_owner(self, running):
-        """Stops owning a rack."""
+        """Retires the owner of a rack.
+
+        Args:
+            running: The ``RackOwner``.
+        """
         if self.owners.get(running.name) is running:
-            LOG.info("This member no longer owns %s.", running.name)
+            LOG.info("This process no longer owns rack %s.", running.name)
             del self.owners[running.name]
             self.retiring[running.name] = running
             self.owner_tasks.pop(running.name).cancel()
         running.retire()
 
     def eligible_members(self):
-        """Returns the members that may own racks."""
+        """Returns the members that may own racks: alive and not draining."""
         view = self.node.view
         return [m for m in view.alive_members() if not view.is_draining(m)]
 
     def owned_counts(self):
-        """Returns how many racks each member owns."""
+        """Returns a counter of the racks that each member owns, by name."""
         state = self.node.tail.state
         return collections.Counter(o.member for o in state.owners.values())
 
     async def claim_unowned_racks(self):
-        """Claims the racks whose owner is gone and which fall to us."""
+        """Claims racks without a live owner that this process should own."""
         state = self.node.tail.state
         members = self.eligible_members()
         claims = []
@@ -126,7 +155,16 @@
         await asyncio.gather(*claims)
 
     def is_preferred_owner(self, rack, members):
-        """Whether this member should claim a rack without an owner."""
+        """Whether this process should claim a rack without a live owner.
+
+        If the rack's region has no eligible member, the members of other
+        regions wait ``FOREIGN_REGION_DELAY_S``. After that the preferred
+        member of each region claims the rack, and the first claim holds.
+
+        Args:
+            rack: The rack.
+            members: Members that may own racks.
+        """
         now_s = asyncio.get_running_loop().time()
         since_s = self.unowned_since_s.setdefault(rack.name, now_s)
         regions = {member.region for member in members}
@@ -145,7 +183,15 @@
         return chosen is not None and self.node.view.is_self(chosen)
 
     async def claim(self, rack, member):
-        """Appends a claim of a rack for a member."""
+        """Appends a claim of a rack for a member to the control log.
+
+        This process does not claim a rack for itself if it reaches none of its
+        workers.
+
+        Args:
+            rack: The rack.
+            member: Member that shall own the rack, this one or a successor.
+        """
         owner = self.node.tail.state.owners.get(rack.name)
         previous = owner.term if owner else 0
         record = records.Claim(
@@ -162,21 +208,27 @@
             self.sync_owners()
 
     async def hand_over(self):
-        """Gives racks to members that should rather own them."""
+        """Claims own racks for the members that should own them instead."""
         members = self.eligible_members()
-        handed = []
+        claims = []
         for name in list(self.owners):
             successor = self.successor(name, members)
             if successor is not None:
                 rack = self.node.hosts.racks[name]
-                handed.append(self.claim(rack, successor))
-        await asyncio.gather(*handed)
+                claims.append(self.claim(rack, successor))
+        await asyncio.gather(*claims)
 
     def successor(self, name, members):
-        """Returns who should take a rack over, or None to keep it.
+        """Returns the member that should own a rack instead, or None.
+
+        A rack is handed over if this process is draining. Otherwise it is
+        handed over if it has been owned for ``MIN_OWNED_S``, is in another
+        failure domain than this process, and an eligible member is in its
+        failure domain, or in its region while this process is not.
 
-        A rack moves if this process drains, if its region is another one,
-        or if a member of its failure domain could own it instead.
+        Args:
+            name: Name of a rack that this process owns.
+            members: Members that may own racks.
         """
         rack = self.node.hosts.racks.get(name)
         if rack is None:
--- a/packages/cicadafold/src/cicadafold/ownership/rack_requests.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack_requests.py
@@ -1,15 +1,20 @@
-"""Requests and tasks as the owner of a rack holds them."""
+"""Requests and their tasks as the owner of a rack keeps them."""
 
 import enum
 
 from cicadafold import clock
 from cicadafold.peerlink import frames
 
-__all__ = ["EndReason", "TargetTask", "TaskEnd", "RackRequest", "RequestState"]
+__all__ = ["EndReason", "RackRequest", "RequestState", "TargetTask", "TaskEnd"]
 
 
 class RequestState(enum.Enum):
-    """State of a request at the owner of its rack."""
+    """State of a request at the owner of its rack.
+
+    A ``HELD`` request has no tasks and is not queued: whether it runs or
+    has run must be found out first. A ``RUNNING`` one has tasks on targets,
+    and an ``ENDED`` one its final reply.
+    """
 
     HELD = "held"
     QUEUED = "queued"
@@ -18,11 +23,12 @@
 
 
 class EndReason(enum.Enum):
-    """Why a task is no longer held by its target.
+    """Why a task does not run on its target any more.
 
-    ``NOT_STARTED`` is proved: the target refused the start, or denies the
-    task after its start deadline has passed on the target's own clock.
-    ``LAPSED`` means that the lease has surely lapsed, so that the task
+    ``REPORTED``: the target has reported the end. ``NOT_STARTED`` is
+    proved: the target refused the start, or does not know the task after
+    its start deadline has passed on the target's own clock. ``LAPSED``: the
+    lease has certainly lapsed or the target was restarted, so that the task
     does not run now; whether it has run is not known.
     """
 
@@ -32,11 +38,12 @@
 
 
 class TaskEnd:
-    """How a task ended.
+    """End of a task.
 
     Attributes:
         reason: Why the task ended.
-        report: The target's report, with ``REPORTED``.
+        report: The target's report if the reason is ``REPORTED``, else
+            None.
         fenced: Whether a newer owner's fence refused the start.
     """
 
@@ -47,7 +54,29 @@
 
 
 class TargetTask:
-    """A task on a target, from before its start is sent to its end."""
+    """A task on a target, from just before its start is sent to its end.
+
+    Args:
+        task_id: Identifier of the task.
+        link: ``TargetLink`` of its target, or None if the task was never
+            on a target.
+        size: Resources that the task reserves, or None if it reserves none.
+        on_end: Function that is called with the task and its ``TaskEnd``.
+
+    Attributes:
+        sent_ms: Monotonic time in milliseconds of the start.
+        renewed_ms: Monotonic time in milliseconds at which the lease was
+            last asked for.
+        start_by_ms: Target's time in milliseconds after which it refuses
+            the start.
+        lease_until_ms: Target's time in milliseconds until which the lease
+            may last.
+        lease_ms: Milliseconds that a lease lasts.
+        unconfirmed: Whether the target is to be asked soon what became of
+            the task.
+        ended: Whether the task has ended.
+        start_call: Running call that sends the start, or None.
+    """
 
     def __init__(self, *, task_id, link, size, on_end):
         self.task_id = task_id
@@ -64,7 +93,10 @@
         self.start_call = None
 
     def end(self, end):
-        """Ends the task once and tells whoever waits for it."""
+        """Ends the task, releases its resources and calls ``on_end``.
+
+        Later ends of the same task are ignored.
+        """
         if self.ended:
             return
         self.ended = True
@@ -78,12 +110,26 @@
     """A request at the owner of its rack.
 
     Attributes:
-        deadline_ms: Monotonic time of the final answer in milliseconds.
-        tasks: Tasks by id, one unless the kind is a gang.
-        responders: Functions that take the reply, one for each sender.
-        reply: The final reply once there is one.
-        avoided: Names of workers on which the request has failed.
-        born_ms: Monotonic time before which no start can have been sent.
+        deadline_ms: Monotonic time in milliseconds of the final answer at
+            the latest.
+        attempt: Offset of the control record that makes the sender
+            coordinator; 0 for requests that are not recorded.
+        arrived_ms: Monotonic time in milliseconds of the dispatch.
+        queued: Whether the request is in the lanes; set by these.
+        tasks: Running tasks by identifier, one unless the kind is a gang.
+        ends: Pairs of ended task and ``TaskEnd`` by task identifier.
+        responders: Pairs of serial number and function that sends a reply,
+            one for each sender that waits.
+        reply: Pair of status and fields of the final reply, or None.
+        failures: How often the request has failed on a worker.
+        failed_workers: Names of the workers on which it has failed.
+        earliest_start_ms: Monotonic time in milliseconds before which no
+            start can have been sent.
+        may_have_run: Whether a task of the request may have run before.
+        cancelled: Whether a caller has cancelled the request.
+        timer: Timer of the deadline.
+        decision_us: Microseconds that placing the request has taken.
+        waited_us: Microseconds between the dispatch and the start.
     """
 
     def __init__(self, *, request_id, kind, team, payload, deadline_ms):
@@ -110,17 +156,22 @@
         self.waited_us = 0
 
     def is_retryable(self):
-        """Whether a new dispatch may find out more than the last one.
+        """Whether a new dispatch may lead to a better answer.
 
-        An unknown outcome of idempotent work is not final: a worker that
-        was silent may answer now.
+        The unknown outcome of an idempotent request is not final: a worker
+        that did not answer then may answer now.
         """
         if self.reply is None or self.tasks or not self.kind.idempotent:
             return False
         return self.reply[0] is frames.ReplyStatus.UNKNOWN
 
     def respond(self, status, **fields):
-        """Answers every sender that waits."""
+        """Sends a reply to every sender that waits.
+
+        Args:
+            status: Status of the reply.
+            **fields: Other fields of the reply.
+        """
         responders, self.responders = self.responders, []
         for serial, send in responders:
             send(
@@ -134,7 +185,12 @@
             )
 
     def finish(self, status, **fields):
-        """Sets the final reply and answers every sender."""
+        """Sets the final reply and sends it to every sender that waits.
+
+        Args:
+            status: Status of the reply.
+            **fields: Other fields of the reply.
+        """
         self.state = RequestState.ENDED
         self.reply = (status, fields)
         if self.timer is not None:
--- a/packages/cicadafold/src/cicadafold/ownership/recovered_tasks.py
+++ b/packages/cicadafold/src/cicadafold/ownership/recovered_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that an owner found on its workers, until they are asked for."""
+"""Tasks that an owner has found on its workers without their requests."""
 
 from cicadafold_schema import messages
 
@@ -12,10 +12,18 @@
 
 
 class RecoveredTasks:
-    """Tasks by request, with what is known of their ends.
+    """Tasks from inventories, until their requests are dispatched here.
 
-    A task that runs is held and its lease renewed, although the kind of
-    its request is not known before its coordinator asks for it.
+    The lease of a running task is renewed meanwhile, although the kind of
+    its request is not known before the coordinator dispatches it.
+
+    Args:
+        rack: ``RackOwner`` of the rack.
+
+    Attributes:
+        running: Running tasks by identifier, for each request identifier.
+        ended: Pairs of ended task and ``TaskEnd`` by task identifier, for
+            each request identifier.
     """
 
     def __init__(self, *, rack):
@@ -24,7 +32,12 @@
         self.ended = {}
 
     def add(self, link, report):
-        """Takes a task from a worker's inventory."""
+        """Records a task of a worker's inventory that the link did not track.
+
+        Args:
+            link: ``TargetLink`` of the worker.
+            report: The worker's ``TaskReport``.
+        """
         request_id = task_ids.request_id_of(report.task_id)
         request = self.rack.requests.get(request_id)
         if report.state is platform.TaskState.RUNNING:
@@ -35,11 +48,15 @@
             self.assign_to(request)
 
     def is_waiting(self, request):
-        """Whether a request waits for what a worker knows."""
+        """Whether a request is held until workers report its tasks."""
         return request.state is rack_requests.RequestState.HELD
 
     def add_running(self, link, report, request):
-        """Holds a running task; a stray one is stopped."""
+        """Records a running task and renews its lease from now on.
+
+        If its request is known here and not held, the task is a stray one and
+        its stop is requested.
+        """
         task = link.track_running(
             report,
             lease_ms=self.rack.node.longest_lease_ms(),
@@ -49,12 +66,17 @@
             link.request_stop(task)
             return
         request_id = task_ids.request_id_of(report.task_id)
-        found = self.running.setdefault(request_id, {})
-        found[task.task_id] = task
+        running = self.running.setdefault(request_id, {})
+        running[task.task_id] = task
         self.ended.get(request_id, {}).pop(task.task_id, None)
 
     def add_ended(self, link, report, request):
-        """Keeps the end of a task; a stray one is acknowledged."""
+        """Records the end of a task, unless its report is known already.
+
+        If its request is known here and not held, the end is not recorded.
+        Once that request was answered, the end is acknowledged so that the
+        worker can discard it.
+        """
         if request is not None and not self.is_waiting(request):
             if request.reply is not None:
                 link.to_acknowledge.append(report.task_id)
@@ -62,31 +84,37 @@
         request_id = task_ids.request_id_of(report.task_id)
         if report.task_id in self.running.get(request_id, {}):
             return
-        found = self.ended.setdefault(request_id, {})
-        known = found.get(report.task_id)
-        if known is not None and known[1].report is not None:
+        ended = self.ended.setdefault(request_id, {})
+        earlier = ended.get(report.task_id)
+        if earlier is not None and earlier[1].report is not None:
             return
         task = rack_requests.TargetTask(
             task_id=report.task_id, link=link, size=None, on_end=self.on_end
         )
         task.ended = True
-        found[task.task_id] = (task, end_of(report))
+        ended[task.task_id] = (task, end_of(report))
 
     def on_end(self, task, end):
-        """Keeps the end of a found task, or passes it on."""
+        """Records the end of a recovered task.
+
+        The end of any other task is passed to the rack's owner.
+        """
         request_id = task_ids.request_id_of(task.task_id)
-        found = self.running.get(request_id, {})
-        if found.pop(task.task_id, None) is None:
+        running = self.running.get(request_id, {})
+        if running.pop(task.task_id, None) is None:
             self.rack.on_task_end(task, end)
             return
-        if not found:
+        if not running:
             del self.running[request_id]
         ended = self.ended.setdefault(request_id, {})
         ended[task.task_id] = (task, end)
         starting.dispatch_queued(self.rack)
 
     def discard_closed(self):
-        """Forgets ended tasks that no open request will ask for."""
+        """Discards ended tasks whose recorded requests are not open.
+
+        Their ends are acknowledged so that the workers can discard them.
+        """
         closed = [
             request_id
             for request_id in self.ended
@@ -97,21 +125,29 @@
                 task.link.to_acknowledge.append(task.task_id)
 
     def has_tasks(self, request_id):
-        """Whether any task of a request was found."""
+        """Whether any task of a request was recovered."""
         return bool(self.running.get(request_id) or self.ended.get(request_id))
 
     def are_conclusive(self, request_id):
-        """Whether workers that are not inventoried yet change nothing."""
+        """Whether the recovered tasks of a request tell what became of it.
+
+        That is so, even if inventories are missing, if one of the tasks runs
+        or if all of them have ended with a report.
+        """
         if self.running.get(request_id) or self.rack.all_inventoried():
             return True
         ended = self.ended.get(request_id, {})
         return all(end.report is not None for _, end in ended.values())
 
     def assign_to(self, request):
-        """Gives the found tasks of a request to it.
+        """Moves the recovered tasks of a request to it.
+
+        Args:
+            request: A held ``RackRequest``.
 
         Returns:
-            Whether any were found that settle the matter.
+            Whether there were any and they are conclusive. The request is
+            running then, or completed if all its tasks have ended.
         """
         request_id = request.request_id
         if not self.has_tasks(request_id) or not self.are_conclusive(
@@ -133,7 +169,10 @@
         return True
 
     def add_missing_tasks(self, request):
-        """Counts the tasks of a gang that were never found."""
+        """Adds the tasks of a gang that no worker reported, as not started.
+
+        Completes the request if none of its tasks runs.
+        """
         missing = request.kind.tasks - len(request.tasks) - len(request.ends)
         for index in range(request.kind.tasks if missing > 0 else 0):
             name = task_ids.task_id(
@@ -151,7 +190,7 @@
 
 
 def end_of(report):
-    """Returns the end that a report of an ended task stands for."""
+    """Returns the ``TaskEnd`` for the report of a task that has ended."""
     if report.state is platform.TaskState.LAPSED:
         return rack_requests.TaskEnd(reason=rack_requests.EndReason.LAPSED)
     return rack_requests.TaskEnd(
--- a/packages/cicadafold/src/cicadafold/ownership/service.py
+++ b/packages/cicadafold/src/cicadafold/ownership/service.py
@@ -1,4 +1,4 @@
-"""Takes the frames of other members and hands them to the rack owners."""
+"""Handles frames of other processes for the racks that this one owns."""
 
 import asyncio
 
@@ -15,17 +15,26 @@
 
 
 class RackService:
-    """The racks of this process, as other members call them."""
+    """Receives frames of other processes and passes them to rack owners.
+
+    Args:
+        node: The services of this process.
+    """
 
     def __init__(self, *, node):
         self.node = node
 
     def handle(self, frame, send):
-        """Handles one frame; the reply may come later."""
+        """Handles one frame; the reply may be sent after the return.
+
+        Args:
+            frame: The frame.
+            send: Function that sends a reply frame.
+        """
         server.handle_frame(self, frame, send)
 
     def submit(self, frame, send):
-        """Hands a dispatch to the owner of its rack."""
+        """Passes a dispatch to the owner of its rack."""
         owner = self.node.rack_claimer.owners.get(frame.rack)
         if owner is None:
             send(frames.Reply(serial=frame.serial, status=Status.MOVED))
@@ -35,7 +44,7 @@
 
 @server.handles(frames.Dispatch)
 def handle_dispatch(service, frame, send):
-    """Checks the coordinator of a recorded request and hands it on."""
+    """Handles a dispatch; checks the coordinator of recorded requests."""
     if frame.attempt:
         when_applied(service, frame, send, submit_recorded)
     else:
@@ -43,7 +52,14 @@
 
 
 def when_applied(service, frame, send, function):
-    """Calls a function once the sender's record is folded here."""
+    """Calls a function once the sender's control record is applied here.
+
+    Args:
+        service: The ``RackService``.
+        frame: Frame whose ``attempt`` is the offset of that record.
+        send: Function that sends a reply frame.
+        function: Called with the three arguments above.
+    """
     if service.node.tail.state.offset >= frame.attempt:
         function(service, frame, send)
     else:
@@ -51,26 +67,33 @@
 
 
 async def wait_until_applied(service, frame, send, function):
-    """Waits for the record that makes the sender coordinator."""
+    """Waits for the record that makes the sender coordinator.
+
+    Answers ``MOVED`` if it is not applied within ``APPLY_TIMEOUT_S``.
+    """
     tail = service.node.tail
-    folded = await tail.wait_until(
+    applied = await tail.wait_until(
         lambda: tail.state.offset >= frame.attempt, timeout_s=APPLY_TIMEOUT_S
     )
-    if folded:
+    if applied:
         function(service, frame, send)
     else:
         send(frames.Reply(serial=frame.serial, status=Status.MOVED))
 
 
 def submit_recorded(service, frame, send):
-    """Refuses earlier coordinators and requests that are closed."""
+    """Passes a recorded request to the owner of its rack.
+
+    Earlier coordinators of the request are refused. A request that is
+    closed is answered with its recorded outcome.
+    """
     entry = service.node.tail.state.requests.get(frame.request_id)
     if entry is None or entry.attempt != frame.attempt:
         send(
             frames.Reply(
                 serial=frame.serial,
                 status=Status.UNKNOWN,
-                text="Another member coordinates the request now.",
+                text="Another process coordinates the request now.",
             )
         )
         return
@@ -81,7 +104,7 @@
 
 
 def closed_reply(frame, entry):
-    """Builds the reply of a request that has its outcome."""
+    """Returns the reply for a request whose outcome is recorded."""
     status = next(
         status
         for status, outcome in answers.OUTCOME_BY_STATUS.items()
@@ -98,7 +121,7 @@
 
 @server.handles(frames.CancelFrame)
 def handle_cancel(service, frame, send):
-    """Hands a cancellation to the owner of its rack."""
+    """Passes a cancellation to the owner of its rack."""
     owner = service.node.rack_claimer.owners.get(frame.rack)
     if owner is None:
         send(frames.Reply(serial=frame.serial, status=Status.MOVED))
@@ -108,12 +131,12 @@
 
 @server.handles(frames.Locate)
 def handle_locate(service, frame, send):
-    """Tells whether a rack of this process knows a request."""
+    """Answers whether a rack of this process knows a request."""
     when_applied(service, frame, send, locate)
 
 
 def locate(service, frame, send):
-    """Asks the owner of the rack, if it is this process still."""
+    """Passes the question to the rack's owner if its term still holds."""
     owner = service.node.rack_claimer.owners.get(frame.rack)
     current = service.node.tail.state.owners.get(frame.rack)
     if owner is None or current.term != owner.term:
--- a/packages/cicadafold/src/cicadafold/ownership/starting.py
+++ b/packages/cicadafold/src/cicadafold/ownership/starting.py
@@ -1,4 +1,4 @@
-"""Starts waiting work on the workers of a rack, urgent work first."""
+"""Starts queued requests on the workers of a rack, urgent ones first."""
 
 import functools
 
@@ -16,7 +16,11 @@
 
 
 def dispatch_queued(owner):
-    """Starts waiting work, urgent first, for as long as it fits."""
+    """Starts queued requests, urgent ones first, until the next does not fit.
+
+    Patient requests follow in the order of the teams' fair shares; teams at
+    their quota are skipped.
+    """
     if owner.retired:
         return
     while request := owner.lanes.first_urgent():
@@ -30,10 +34,14 @@
 
 
 def start_queued(owner, request):
-    """Starts the work at the head of a lane if it fits.
+    """Starts or refuses the request at the head of a lane.
 
-    Work that would end too late is refused before it starts, so that
-    its answer is a truthful "not run" and its slot serves others.
+    A request that would end after its deadline is refused before it starts:
+    the caller then knows that it has not run, and the slot stays free for
+    others.
+
+    Returns:
+        Whether the request has left the queue.
     """
     if estimates.would_be_late(owner, request, 0.0):
         owner.lanes.remove(request)
@@ -54,20 +62,36 @@
 
 
 def is_below_quota(owner, team):
-    """Whether a team is below its quota on this rack."""
+    """Whether a team is below its quota of cores in this rack.
+
+    A quota of 0 is unlimited.
+    """
     quota = owner.node.team_quota_cores(team)
     return not quota or owner.held_cores[team] < quota
 
 
 def headroom(owner, kind):
-    """Returns the slots on each worker that a kind leaves free."""
+    """Returns how many slots a start must leave free on a worker.
+
+    Patient requests leave the configured headroom to urgent ones.
+    """
     if kind.lane is messages.Lane.urgent:
         return 0
     return owner.node.headroom_slots()
 
 
 def try_start(owner, request, *, queued=False):
-    """Starts a request if all its tasks fit now."""
+    """Starts a request if all its tasks fit now.
+
+    Args:
+        owner: ``RackOwner`` of the rack.
+        request: ``RackRequest`` that has no tasks.
+        queued: Whether the request is the next one of its lane, so that it
+            need not wait for others.
+
+    Returns:
+        Whether the request was started.
+    """
     if not queued and must_queue(owner, request):
         return False
     size = capacity.size_of_kind(request.kind)
@@ -92,7 +116,7 @@
         )
     owner.node.events.add(
         request.request_id,
-        "Started on %s by %s under term %d after %.1f ms.",
+        "Started on %s by policy %s in term %d after a wait of %.1f ms.",
         ", ".join(link.name for link in chosen),
         request.kind.placement,
         owner.term,
@@ -102,14 +126,21 @@
 
 
 def must_queue(owner, request):
-    """Whether work of the same lane waits ahead."""
+    """Whether a new request must wait for queued ones or for its quota.
+
+    Urgent requests wait only for urgent ones, patient ones for all.
+    """
     if request.kind.lane is messages.Lane.urgent:
         return bool(owner.lanes.urgent_count)
     return bool(len(owner.lanes)) or not is_below_quota(owner, request.team)
 
 
 def choose_links(owner, request, size):
-    """Chooses a worker for every task, or none at all."""
+    """Returns a link for each task of a request, or none if some do not fit.
+
+    Capacity is reserved only while choosing, so that two tasks of a gang do
+    not count the same capacity.
+    """
     kind = request.kind
     chosen = []
     for _ in range(kind.tasks):
@@ -125,16 +156,17 @@
 
 
 def startable_links(owner, request, size):
-    """Returns the workers that could start a task now.
+    """Returns the links to the workers that could start a task now.
 
-    A worker on which the request has failed is taken only if there
-    is no other.
+    Workers on which the request has failed are returned only if no other
+    worker fits.
     """
-    spare = headroom(owner, request.kind)
+    headroom_slots = headroom(owner, request.kind)
     fitting = [
         link
         for link in owner.links.values()
-        if link.capacity.fits(size, headroom=spare) and link.is_available()
+        if link.capacity.fits(size, headroom=headroom_slots)
+        and link.is_available()
     ]
     if not request.failed_workers:
         return fitting
--- a/packages/cicadafold/src/cicadafold/ownership/target_link.py
+++ b/packages/cicadafold/src/cicadafold/ownership/target_link.py
@@ -1,9 +1,9 @@
-"""One task for each worker: fence, inventory, leases and starts.
+"""Link of a rack's owner to one worker: fence, inventory, leases, starts.
 
-A worker takes work only after this owner's term has been raised there as
-its fence and its inventory has been read. From then on the fence refuses
-every start of an earlier owner, so that the capacity seen here is the
-whole truth: no two owners can fill the same worker.
+Tasks are started on a worker only after this owner's term was raised as the
+worker's fence and its inventory was read. From then on the worker refuses
+every start of an earlier owner, so that the capacity known here is complete
+and no two owners can overfill the same worker.
 """
 
 import asyncio
@@ -22,9 +22,9 @@
 BUSY_PERIOD_S = 0.4
 RETRY_PERIOD_S = 0.3
 START_BY_MS = 1000
-RENEW_AFTER_MS = 400
-RENEW_SHARE = 0.3
-DUE_SHARE = 0.9
+MIN_RENEW_AFTER_MS = 400
+RENEW_LEASE_SHARE = 0.3
+HEARTBEAT_DUE_SHARE = 0.9
 IDLE_HEARTBEATS_PER_S = 4.0
 LAPSE_MARGIN_MS = 300
 CLOCK_SLACK_MS = 1000
@@ -36,7 +36,12 @@
 
 
 class LinkState(enum.Enum):
-    """Whether a worker may be given work."""
+    """State of a link.
+
+    ``CONNECTING`` before the first fence, ``READY`` while the worker
+    answers, ``UNREACHABLE`` until it is fenced again, and ``FENCED`` for
+    good once a newer owner has raised the fence.
+    """
 
     CONNECTING = "connecting"
     READY = "ready"
@@ -45,13 +50,33 @@
 
 
 class TargetLink:
-    """The owner's side of one worker.
+    """Link of a rack's owner to one worker.
+
+    Args:
+        host: The worker, as the platform lists it.
+        client: Client of the worker's target calls.
+        term: Term of the owner.
+        rack: ``RackOwner`` of the rack.
 
     Attributes:
-        inventoried: Whether the inventory was ever read under this term.
-        up_since_ms: Monotonic time since which the worker surely knows
-            all that it was given.
-        recorded: Whether the log says that this owner may use the worker.
+        inventoried: Whether the inventory was ever read in this term.
+        up_since_ms: Monotonic time in milliseconds at which the worker was
+            last started, as of its first inventory. It knows all tasks that
+            were started on it since.
+        recorded: Whether the control log lists the worker for the rack.
+        leaving: Whether the worker accepts no new tasks.
+        capacity: Resources that the worker has and that its tasks reserve.
+        clock: Bounds of the worker's clock.
+        epoch: Incarnation of the worker, empty before the first fence.
+        tasks: Tasks that may run on the worker, by identifier.
+        to_acknowledge: Identifiers of ended tasks that the next renewal
+            tells the worker to discard.
+        last_reply_ms: Monotonic time in milliseconds of the last reply.
+        renewal_wanted: Set if a renewal should not wait for its period.
+        failed_requests: Identifiers of the requests whose tasks have failed
+            since the last success.
+        quarantine_s: Seconds of the last quarantine, or 0 after a success.
+        quarantined_until_ms: Monotonic time in milliseconds of its end.
     """
 
     def __init__(self, *, host, client, term, rack):
@@ -78,29 +103,42 @@
         self.quarantined_until_ms = 0.0
 
     def is_available(self):
-        """Whether the worker may be given work now."""
+        """Whether tasks may be started on the worker now.
+
+        After a quarantine it gets one task at a time until one succeeds.
+        """
         if self.state is not LinkState.READY or self.leaving:
             return False
         if not self.recorded:
             return False
         if not self.quarantine_s:
             return True
-        trial = clock.monotonic_ms() >= self.quarantined_until_ms
-        return trial and not self.tasks
+        quarantine_over = clock.monotonic_ms() >= self.quarantined_until_ms
+        return quarantine_over and not self.tasks
 
     async def run(self):
-        """Fences the worker, then keeps its leases, until retired."""
+        """Fences the worker and renews leases until a newer owner fences it.
+
+        After a failure it starts again ``RETRY_PERIOD_S`` later.
+        """
         while self.state is not LinkState.FENCED:
             try:
                 if await self.raise_fence():
                     await self.renew_leases()
             except Exception:
-                LOG.exception("Looking after %s failed.", self.name)
+                LOG.exception(
+                    "Link to worker %s failed; the worker is fenced again.",
+                    self.name,
+                )
                 self.mark_unreachable()
             await asyncio.sleep(RETRY_PERIOD_S)
 
     async def raise_fence(self):
-        """Raises the fence and reads the inventory."""
+        """Raises the worker's fence to this term and reads its inventory.
+
+        Returns:
+            Whether the worker is ready.
+        """
         try:
             reply = await self.client.fence(self.term)
         except exception.TargetUnreachable:
@@ -126,7 +164,11 @@
         return True
 
     def apply_inventory(self, reports):
-        """Rebuilds the used capacity from the worker's own report."""
+        """Applies the worker's inventory to the tasks and the capacity.
+
+        Args:
+            reports: ``TaskReport`` of every task that the worker knows.
+        """
         by_id = {report.task_id: report for report in reports}
         for task in list(self.tasks.values()):
             self.apply_report(task, by_id.get(task.task_id))
@@ -138,12 +180,15 @@
                 self.rack.on_inventory(self, report)
 
     def track_running(self, report, *, lease_ms, on_end):
-        """Takes over a task that the worker was found running.
+        """Tracks a running task that another owner or term has started.
 
         Args:
             report: The worker's report of the task.
-            lease_ms: Longest lease that an earlier owner may have given.
-            on_end: Function that takes the task and its end.
+            lease_ms: Longest lease in milliseconds that may have been given.
+            on_end: Function that is called with the task and its ``TaskEnd``.
+
+        Returns:
+            The ``TargetTask``; its lease is renewed next.
         """
         size = host_capacity.Size(
             cores=report.cores,
@@ -162,14 +207,17 @@
         return task
 
     def start(self, *, task_id, size, payload, lease_ms, on_end):
-        """Reserves the capacity and sends the start of a task.
+        """Reserves the resources of a task and sends its start.
 
         Args:
             task_id: Identifier of the task.
-            size: What the task needs.
-            payload: Handed to the worker as it is.
+            size: Resources that the task needs.
+            payload: Payload, passed to the worker unchanged.
             lease_ms: Milliseconds that a lease lasts.
-            on_end: Function that takes the task and its end.
+            on_end: Function that is called with the task and its ``TaskEnd``.
+
+        Returns:
+            The ``TargetTask``.
         """
         task = rack_requests.TargetTask(
             task_id=task_id, link=self, size=size, on_end=on_end
@@ -197,7 +245,11 @@
         return task
 
     async def send_start(self, task, message):
-        """Sends a start and waits for the task's end."""
+        """Sends the start of a task and waits for the report of its end.
+
+        Without a reply the task is unconfirmed if the start may have arrived,
+        and not started otherwise.
+        """
         try:
             reply = await self.client.start(message)
         except exception.TargetRefused as error:
@@ -217,7 +269,14 @@
             self.apply_report(task, reply.tasks[0])
 
     def apply_refusal(self, task, refusal):
-        """Ends a task whose start was refused."""
+        """Ends a task whose start the worker refused.
+
+        A task that the worker knows already is unconfirmed instead.
+
+        Args:
+            task: The ``TargetTask``.
+            refusal: The worker's ``Refusal``.
+        """
         if refusal.code is messages.RefusalCode.KNOWN:
             task.unconfirmed = True
             self.renewal_wanted.set()
@@ -239,10 +298,16 @@
         )
 
     def apply_report(self, task, report):
-        """Ends a task that its worker reports as ended or denies."""
+        """Applies a worker's report of a task.
+
+        Args:
+            task: The ``TargetTask``.
+            report: Its ``TaskReport``, or None if the worker does not know the
+                task. It was not started then if its start deadline is over.
+        """
         if report is None:
-            denied = self.clock.worker_ms > task.start_by_ms
-            if denied:
+            start_expired = self.clock.worker_ms > task.start_by_ms
+            if start_expired:
                 end_task(task, rack_requests.EndReason.NOT_STARTED)
             return
         if report.state is messages.TaskState.RUNNING:
@@ -259,7 +324,7 @@
         )
 
     async def renew_leases(self):
-        """Renews leases until the worker must be fenced anew."""
+        """Renews leases until the worker must be fenced again."""
         while self.state is LinkState.READY:
             await self.wait_until_due()
             if not self.is_renewal_due():
@@ -268,7 +333,7 @@
                 return
 
     async def wait_until_due(self):
-        """Waits for a kick or for the period to pass."""
+        """Waits until a renewal is wanted or the period is over."""
         period_s = BUSY_PERIOD_S if self.tasks else self.idle_period_s()
         try:
             async with asyncio.timeout(period_s):
@@ -280,45 +345,64 @@
     def idle_period_s(self):
         """Returns the seconds between heartbeats to an idle worker.
 
-        The heartbeats of one process to all its idle workers together
-        stay below a rate, however many workers there are.
+        The heartbeats of one process to all its idle workers together are
+        limited to ``IDLE_HEARTBEATS_PER_S``.
         """
-        share_s = self.rack.node.count_links() / IDLE_HEARTBEATS_PER_S
-        return max(IDLE_PERIOD_S, share_s)
+        limited_s = self.rack.node.count_links() / IDLE_HEARTBEATS_PER_S
+        return max(IDLE_PERIOD_S, limited_s)
 
     def is_renewal_due(self):
-        """Whether a renewal or a heartbeat is due."""
+        """Whether a lease is to be renewed or a heartbeat is due.
+
+        A heartbeat is due after ``HEARTBEAT_DUE_SHARE`` of the idle period
+        without a reply.
+        """
         now_ms = clock.monotonic_ms()
         silent_ms = now_ms - self.last_reply_ms
-        if silent_ms > self.idle_period_s() * clock.MILLISECONDS * DUE_SHARE:
+        if (
+            silent_ms
+            > self.idle_period_s() * clock.MILLISECONDS * HEARTBEAT_DUE_SHARE
+        ):
             return True
         return any(self.needs_renewal(t, now_ms) for t in self.tasks.values())
 
     def needs_renewal(self, task, now_ms):
-        """Whether a lease is to be renewed, or a state is in doubt."""
+        """Whether a task is part of the next renewal.
+
+        That is so if the worker must report its state, or if its last renewal
+        is older than both ``RENEW_LEASE_SHARE`` of its lease and
+        ``MIN_RENEW_AFTER_MS``.
+        """
         if task.unconfirmed:
             return True
-        after_ms = max(RENEW_AFTER_MS, task.lease_ms * RENEW_SHARE)
+        after_ms = max(MIN_RENEW_AFTER_MS, task.lease_ms * RENEW_LEASE_SHARE)
         return now_ms - task.renewed_ms >= after_ms
 
     async def renew(self):
-        """Renews the leases of tasks and settles those that ended."""
+        """Renews due leases and applies the reports in the reply.
+
+        Without due leases the call is a heartbeat. It also acknowledges ended
+        tasks.
+
+        Returns:
+            Whether the worker is still ready.
+        """
         now_ms = clock.monotonic_ms()
-        asked = [
+        due = [
             task
             for task in self.tasks.values()
             if self.needs_renewal(task, now_ms)
         ]
         acknowledged, self.to_acknowledge = self.to_acknowledge, []
-        lease_ms = max((t.lease_ms for t in asked), default=0)
+        lease_ms = max((t.lease_ms for t in due), default=0)
         until_ms = int(self.clock.lower_bound_ms()) + lease_ms
         request = messages.RenewRequest(
             fence=self.term,
             until_ms=until_ms,
-            tasks=[task.task_id for task in asked],
+            tasks=[task.task_id for task in due],
             acknowledged=acknowledged,
         )
-        for task in asked:
+        for task in due:
             task.renewed_ms = now_ms
             task.lease_until_ms = max(task.lease_until_ms, until_ms)
         try:
@@ -334,26 +418,34 @@
             return False
         self.record_reply(reply)
         by_id = {report.task_id: report for report in reply.tasks}
-        for task in asked:
+        for task in due:
             if not task.ended:
                 self.apply_report(task, by_id.get(task.task_id))
         return True
 
     def request_stop(self, task):
-        """Asks the worker to stop a task; its lease lapses otherwise."""
+        """Requests the stop of a task; the next renewal asks for its state."""
         task.unconfirmed = True
         asyncio.create_task(self.send_stop(task))
 
     async def send_stop(self, task):
-        """Stops a task and asks soon what became of it."""
+        """Sends the stop of a task; a renewal follows, also on failure."""
         try:
             await self.client.stop(task.task_id)
         except (exception.TargetUnreachable, exception.TargetRefused):
-            LOG.info("%s could not be stopped.", task.task_id)
+            LOG.info(
+                "Task %s: the worker did not confirm the stop; "
+                "the next renewal asks for its state.",
+                task.task_id,
+            )
         self.renewal_wanted.set()
 
     def end_lapsed_tasks(self):
-        """Ends the tasks whose leases have surely lapsed."""
+        """Ends the tasks whose leases have certainly lapsed.
+
+        That is so ``LAPSE_MARGIN_MS`` after the end of the lease by the lower
+        bound of the worker's clock.
+        """
         if self.clock.updated_ms is None:
             return
         worker_ms = self.clock.lower_bound_ms()
@@ -362,58 +454,81 @@
                 end_task(task, rack_requests.EndReason.LAPSED)
 
     def end_all_tasks(self):
-        """Ends the tasks of a worker that has been restarted."""
-        LOG.warning("%s was restarted. Its tasks are lost.", self.name)
+        """Ends all tasks of a worker that was restarted."""
+        LOG.warning(
+            "Worker %s was restarted; all its tasks count as lapsed.",
+            self.name,
+        )
         for task in list(self.tasks.values()):
             end_task(task, rack_requests.EndReason.LAPSED)
 
     def release(self, task):
-        """Gives the capacity of an ended task back."""
+        """Releases the resources of an ended task."""
         if self.tasks.pop(task.task_id, None) is not None:
             self.capacity.release(task.size)
 
     def record_reply(self, reply):
-        """Notes the clock and the contact that an answer proves."""
+        """Records the worker's clock and the time of a reply."""
         self.clock.update(reply.now_ms)
         self.last_reply_ms = clock.monotonic_ms()
 
     def mark_unreachable(self):
-        """Stops giving work until the worker is fenced again."""
+        """Marks the worker unreachable until it has been fenced again.
+
+        No tasks are started on it meanwhile.
+        """
         if self.state is LinkState.READY:
-            LOG.warning("%s does not answer.", self.name)
+            LOG.warning(
+                "Worker %s is unreachable; "
+                "no tasks are started on it until it has been fenced again.",
+                self.name,
+            )
         if self.state is not LinkState.FENCED:
             self.state = LinkState.UNREACHABLE
         self.renewal_wanted.set()
 
     def mark_fenced(self):
-        """Stops for good: a newer owner has raised the fence."""
+        """Ends the link for good, as a newer owner has raised the fence."""
         if self.state is not LinkState.FENCED:
             self.state = LinkState.FENCED
             self.rack.on_fenced(self)
 
     def record_result(self, request_id, *, failed):
-        """Learns from a result whether the worker can be trusted."""
+        """Records a result of the worker; repeated failures quarantine it.
+
+        ``QUARANTINE_FAILURES`` failed requests without a success in between
+        start a quarantine of ``QUARANTINE_MIN_S``; each further one doubles it
+        up to ``QUARANTINE_MAX_S``. A success ends it.
+
+        Args:
+            request_id: Identifier of the request.
+            failed: Whether its task failed.
+        """
         if not failed:
             self.failed_requests.clear()
             if self.quarantine_s:
-                LOG.info("%s is trusted again.", self.name)
+                LOG.info(
+                    "Worker %s has completed a task; its quarantine is over.",
+                    self.name,
+                )
             self.quarantine_s = 0.0
             return
         self.failed_requests.add(request_id)
         if len(self.failed_requests) < QUARANTINE_FAILURES:
             return
-        grown = max(QUARANTINE_MIN_S, self.quarantine_s * 2)
-        self.quarantine_s = min(QUARANTINE_MAX_S, grown)
+        doubled_s = max(QUARANTINE_MIN_S, self.quarantine_s * 2)
+        self.quarantine_s = min(QUARANTINE_MAX_S, doubled_s)
         now_ms = clock.monotonic_ms()
         until_ms = now_ms + self.quarantine_s * clock.MILLISECONDS
         self.quarantined_until_ms = until_ms
         LOG.warning(
-            "%s fails its tasks. It gets none for %.0f s.",
+            "Worker %s fails tasks of several requests and completes none; "
+            "it is quarantined for %.0f s.",
             self.name,
             self.quarantine_s,
         )
 
 
 def end_task(task, reason):
-    """Ends a task without a report."""
+    """Ends a task of which the worker sent no report."""
     task.end(rack_requests.TaskEnd(reason=reason))
--- a/packages/cicadafold/src/cicadafold/ownership/task_ids.py
+++ b/packages/cicadafold/src/cicadafold/ownership/task_ids.py
@@ -1,4 +1,4 @@
-"""Names of the tasks of a request."""
+"""Identifiers of the tasks of a request."""
 
 __all__ = ["index_of", "request_id_of", "task_id"]
 
@@ -6,7 +6,12 @@
 
 
 def task_id(request_id, index, count):
-    """Returns the id of a task of a request.
+    """Returns the identifier of a task of a request.
+
+    Args:
+        request_id: Identifier of the request.
+        index: Index of the task in its gang, from 0.
+        count: Number of tasks of the request.
 
     Examples:
         >>> task_id("r1", 0, 1)
@@ -20,7 +25,7 @@
 
 
 def request_id_of(task_id):
-    """Returns the request of a task."""
+    """Returns the identifier of the request that a task belongs to."""
     return task_id.partition(INDEX_SEPARATOR)[0]
 
 
--- a/packages/cicadafold/src/cicadafold/ownership/tests/test_rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/tests/test_rack.py
@@ -1,4 +1,4 @@
-"""The owner of a rack: room, leases, fences, answers."""
+"""Tests of the owner of a rack: capacity, leases, fences, answers."""
 
 import asyncio
 
@@ -14,11 +14,14 @@
 
 
 @pytest.fixture
-def scene():
-    """Returns a function that runs a coroutine on a fresh rack."""
+def run_on_rack():
+    """Returns a function that runs a test body on a new rack.
+
+    The body is a coroutine function of the rack's owner and its node.
+    """
 
     def run(body, *, workers=2, slots=8, kinds=None, cores=8.0):
-        async def go():
+        async def run_body():
             hosts = [
                 memory.make_host(f"w{i}", slots=slots, cores=cores)
                 for i in range(workers)
@@ -27,10 +30,10 @@
                 kinds=kinds or [memory.make_kind()], hosts=hosts
             )
             owner = make_owner(node, term=1)
-            await ready(owner)
+            await wait_until_ready(owner)
             return await body(owner, node)
 
-        return asyncio.run(go())
+        return asyncio.run(run_body())
 
     return run
 
@@ -40,8 +43,8 @@
     return rack.RackOwner(name="rack", term=term, hosts=hosts, node=node)
 
 
-async def ready(owner):
-    """Waits until every worker that answers is fenced."""
+async def wait_until_ready(owner):
+    """Waits until every worker that is not silent is fenced."""
     async with asyncio.timeout(5):
         while not all(
             link.state is target_link.LinkState.READY or link.client.silent
@@ -70,22 +73,22 @@
 
 
 async def submit(owner, *arguments, **fields):
-    """Submits a request and returns the reply."""
+    """Submits a request and returns its reply."""
     future = asyncio.get_running_loop().create_future()
     owner.submit(dispatch(*arguments, **fields), future.set_result)
     async with asyncio.timeout(8):
         return await future
 
 
-def test_request_is_answered_with_its_result(scene):
+def test_request_is_answered_with_its_result(run_on_rack):
     async def body(owner, node):
         reply = await submit(owner)
         assert (reply.status, reply.result) == (Status.DONE, "r")
 
-    scene(body)
+    run_on_rack(body)
 
 
-def test_lost_answer_is_asked_for_and_not_sent_again(scene):
+def test_start_without_answer_is_queried_and_not_sent_again(run_on_rack):
     async def body(owner, node):
         for target in node.targets.values():
             target.lose_answers = True
@@ -94,10 +97,10 @@
         starts = [t for n in node.targets.values() for t in n.starts]
         assert starts == ["q"]
 
-    scene(body, kinds=[memory.make_kind(idempotent=False)])
+    run_on_rack(body, kinds=[memory.make_kind(idempotent=False)])
 
 
-def test_no_worker_is_overfilled_by_a_burst(scene):
+def test_no_worker_is_overfilled_by_a_burst(run_on_rack):
     async def body(owner, node):
         for target in node.targets.values():
             target.hold = True
@@ -113,10 +116,10 @@
         assert all(r.status is Status.DONE for r in done)
         assert sum(t.overfills for t in node.targets.values()) == 0
 
-    scene(body, slots=3)
+    run_on_rack(body, slots=3)
 
 
-def test_patient_work_leaves_the_headroom_to_urgent_work(scene):
+def test_patient_requests_leave_the_headroom_to_urgent_ones(run_on_rack):
     async def body(owner, node):
         for target in node.targets.values():
             target.hold = True
@@ -135,39 +138,39 @@
         await asyncio.gather(urgent, *patient)
 
     batch = memory.make_kind("batch", lane=messages.Lane.patient)
-    scene(body, slots=3, kinds=[memory.make_kind(), batch])
+    run_on_rack(body, slots=3, kinds=[memory.make_kind(), batch])
 
 
-def test_duplicate_is_attached_and_runs_once(scene):
+def test_duplicate_is_attached_and_runs_once(run_on_rack):
     async def body(owner, node):
         replies = await asyncio.gather(*(submit(owner) for _ in range(5)))
         assert {r.status for r in replies} == {Status.DONE}
         starts = [t for n in node.targets.values() for t in n.starts]
         assert starts == ["q"]
 
-    scene(body)
+    run_on_rack(body)
 
 
-def test_newer_owner_fences_the_older_one(scene):
+def test_newer_owner_fences_the_older_one(run_on_rack):
     async def body(owner, node):
         newer = make_owner(node, term=2)
-        await ready(newer)
+        await wait_until_ready(newer)
         reply = await submit(owner)
         assert reply.status is Status.MOVED and not reply.started
         assert node.superseded == [owner]
         assert (await submit(newer)).status is Status.DONE
 
-    scene(body)
+    run_on_rack(body)
 
 
-def test_newer_owner_takes_over_running_tasks(scene):
+def test_newer_owner_takes_over_running_tasks(run_on_rack):
     async def body(owner, node):
         for target in node.targets.values():
             target.hold = True
         asyncio.create_task(submit(owner))
         await asyncio.sleep(0.05)
         newer = make_owner(node, term=2)
-        await ready(newer)
+        await wait_until_ready(newer)
         answer = asyncio.create_task(submit(newer, first=False))
         await asyncio.sleep(0.9)
         assert sum(len(t.running()) for t in node.targets.values()) == 1
@@ -177,22 +180,22 @@
         starts = [t for n in node.targets.values() for t in n.starts]
         assert starts == ["q"]
 
-    scene(body)
+    run_on_rack(body)
 
 
-def test_doubtful_request_waits_for_every_inventory(scene):
+def test_possibly_started_request_waits_for_every_inventory(run_on_rack):
     async def body(owner, node):
-        hidden = node.targets["w1"]
-        hidden.silent = True
+        unreachable = node.targets["w1"]
+        unreachable.silent = True
         newer = make_owner(node, term=2)
-        await ready(newer)
+        await wait_until_ready(newer)
         answer = asyncio.create_task(submit(newer, first=False))
         await asyncio.sleep(0.2)
         assert not any(t.starts for t in node.targets.values())
-        hidden.silent = False
+        unreachable.silent = False
         assert (await answer).status is Status.DONE
 
-    scene(body)
+    run_on_rack(body)
 
 
 @pytest.mark.parametrize(
@@ -204,53 +207,56 @@
     ],
 )
 def test_restarted_worker_proves_nothing_about_earlier_requests(
-    scene, idempotent, age_ms, expected
+    run_on_rack, idempotent, age_ms, expected
 ):
-    """Failed before: a restarted worker's empty inventory was a proof."""
+    """Guards against trusting the empty inventory of a restarted worker.
+
+    It does not prove that the request never ran there.
+    """
 
     async def body(owner, node):
         node.targets["w0"].restart()
         await asyncio.sleep(0.01)
         newer = make_owner(node, term=2)
-        await ready(newer)
+        await wait_until_ready(newer)
         reply = await submit(newer, age_ms=age_ms, first=False)
         assert reply.status is expected
 
-    scene(body, kinds=[memory.make_kind(idempotent=idempotent)])
+    run_on_rack(body, kinds=[memory.make_kind(idempotent=idempotent)])
 
 
-def test_worker_gets_work_only_after_it_is_recorded(scene):
+def test_worker_gets_tasks_only_after_it_is_recorded(run_on_rack):
     async def body(owner, node):
         node.recorded = set()
         newer = make_owner(node, term=2)
-        await ready(newer)
+        await wait_until_ready(newer)
         answer = asyncio.create_task(submit(newer))
         await asyncio.sleep(0.05)
         assert not any(t.starts for t in node.targets.values())
         await newer.record_hosts()
         assert (await answer).status is Status.DONE
 
-    scene(body)
+    run_on_rack(body)
 
 
-def test_unknown_outcome_of_idempotent_work_is_looked_at_again(scene):
-    """Failed before: "unknown" was repeated for as long as it was kept."""
+def test_unknown_outcome_of_idempotent_request_is_retried(run_on_rack):
+    """Guards against repeating a kept "unknown" though workers answer now."""
 
     async def body(owner, node):
-        hidden = node.targets["w1"]
-        hidden.silent = True
+        unreachable = node.targets["w1"]
+        unreachable.silent = True
         newer = make_owner(node, term=2)
-        await ready(newer)
+        await wait_until_ready(newer)
         first = await submit(newer, first=False, budget_ms=200)
-        hidden.silent = False
+        unreachable.silent = False
         again = await submit(newer, first=False)
         assert first.status is Status.UNKNOWN
         assert again.status is Status.DONE
 
-    scene(body)
+    run_on_rack(body)
 
 
-def test_lapsed_idempotent_task_runs_elsewhere(scene):
+def test_lapsed_idempotent_task_runs_elsewhere(run_on_rack):
     async def body(owner, node):
         for target in node.targets.values():
             target.hold = True
@@ -264,10 +270,12 @@
         assert reply.status is Status.DONE
         assert reply.worker != holder.host.name
 
-    scene(body)
+    run_on_rack(body)
 
 
-def test_lapsed_task_is_not_repeated_while_ownership_is_in_doubt(scene):
+def test_lapsed_task_is_not_run_again_while_ownership_is_unconfirmed(
+    run_on_rack,
+):
     async def body(owner, node):
         node.still_owner = False
         for target in node.targets.values():
@@ -280,10 +288,10 @@
         starts = [t for n in node.targets.values() for t in n.starts]
         assert starts == ["q"]
 
-    scene(body)
+    run_on_rack(body)
 
 
-def test_lapsed_non_idempotent_task_is_never_repeated(scene):
+def test_lapsed_non_idempotent_task_is_never_run_again(run_on_rack):
     async def body(owner, node):
         for target in node.targets.values():
             target.hold = True
@@ -294,10 +302,10 @@
         starts = [t for n in node.targets.values() for t in n.starts]
         assert starts == ["q"]
 
-    scene(body, kinds=[memory.make_kind(idempotent=False)])
+    run_on_rack(body, kinds=[memory.make_kind(idempotent=False)])
 
 
-def test_worker_that_fails_everything_is_quarantined(scene):
+def test_worker_that_fails_every_task_is_quarantined(run_on_rack):
     async def body(owner, node):
         node.targets["w0"].fail = True
         replies = [await submit(owner, f"q{i}") for i in range(30)]
@@ -306,10 +314,10 @@
         assert len(failing.starts) == target_link.QUARANTINE_FAILURES
 
     kind = memory.make_kind(placement="first_fit")
-    scene(body, kinds=[kind])
+    run_on_rack(body, kinds=[kind])
 
 
-def test_gang_starts_all_or_none(scene):
+def test_gang_starts_all_or_none(run_on_rack):
     async def body(owner, node):
         for target in node.targets.values():
             target.hold = True
@@ -324,10 +332,10 @@
         assert replies[1].result == "r,r,r,r"
 
     gang = memory.make_kind("gang", shape=messages.Shape.gang, tasks=4)
-    scene(body, slots=2, kinds=[memory.make_kind(), gang])
+    run_on_rack(body, slots=2, kinds=[memory.make_kind(), gang])
 
 
-def test_cancelled_waiting_work_never_starts(scene):
+def test_cancelled_queued_request_never_starts(run_on_rack):
     async def body(owner, node):
         for target in node.targets.values():
             target.hold = True
@@ -347,10 +355,12 @@
         starts = [t for n in node.targets.values() for t in n.starts]
         assert starts == ["a"]
 
-    scene(body, workers=1, slots=1)
+    run_on_rack(body, workers=1, slots=1)
 
 
-def test_ten_thousand_cancellations_leave_urgent_work_unharmed(scene):
+def test_urgent_request_is_served_after_ten_thousand_cancellations(
+    run_on_rack,
+):
     async def body(owner, node):
         node.targets["w0"].hold = True
         waiting = [
@@ -376,10 +386,10 @@
     batch = memory.make_kind(
         "batch", lane=messages.Lane.patient, deadline_ms=60_000
     )
-    scene(body, workers=1, slots=2, kinds=[memory.make_kind(), batch])
+    run_on_rack(body, workers=1, slots=2, kinds=[memory.make_kind(), batch])
 
 
-def test_work_that_cannot_make_its_deadline_is_refused_at_once(scene):
+def test_request_that_would_miss_its_deadline_is_refused_at_once(run_on_rack):
     async def body(owner, node):
         owner.mean_run_ms[messages.Lane.urgent] = 1000.0
         node.targets["w0"].hold = True
@@ -394,4 +404,4 @@
         node.targets["w0"].hold = False
         await asyncio.gather(running, *queued)
 
-    scene(body, workers=1, slots=1)
+    run_on_rack(body, workers=1, slots=1)
--- a/packages/cicadafold/src/cicadafold/ownership/tests/test_rack_claimer.py
+++ b/packages/cicadafold/src/cicadafold/ownership/tests/test_rack_claimer.py
@@ -1,4 +1,4 @@
-"""Who claims a rack, and when it is handed over."""
+"""Tests of the choice of a rack's claimant and of handovers."""
 
 import asyncio
 import types
@@ -13,8 +13,13 @@
 from cicadafold_standins import memory
 
 
-def make_keeper(domains):
-    """Returns the keeper of m0; one member for each failure domain."""
+def make_claimer(domains):
+    """Returns the rack claimer of m0.
+
+    Args:
+        domains: Failure domains of the members m0, m1, ...; the rack is in
+            d2.
+    """
     state = control_state.ControlState()
     for index, domain in enumerate(domains):
         state.members[f"m{index}"] = control_state.MemberEntry(
@@ -30,56 +35,66 @@
     host.failure_domain = "d2"
     table.listed = [host]
     table.rebuild()
-    seen = view.MembershipView(name="m0", incarnation="i", state=lambda: state)
+    member_view = view.MembershipView(
+        name="m0", incarnation="i", state=lambda: state
+    )
     node = types.SimpleNamespace(
         name="m0",
         incarnation="i",
         region="r",
         hosts=table,
-        view=seen,
+        view=member_view,
         tail=types.SimpleNamespace(state=state),
         own_member=lambda: state.members["m0"],
     )
     return rack_claimer.RackClaimer(node=node)
 
 
-def successor(made, owned_for_s):
-    """Returns who should take the rack over after some time."""
+def successor(claimer, owned_for_s):
+    """Returns the name of the rack's successor, or None.
 
-    async def go():
+    Args:
+        claimer: The ``RackClaimer`` of m0, which owns the rack.
+        owned_for_s: Seconds since when m0 owns it.
+    """
+
+    async def run():
         now_s = asyncio.get_running_loop().time()
-        made.owned_since_s["rack"] = now_s - owned_for_s
-        found = made.successor("rack", made.eligible_members())
-        return found.name if found else None
+        claimer.owned_since_s["rack"] = now_s - owned_for_s
+        member = claimer.successor("rack", claimer.eligible_members())
+        return member.name if member else None
 
-    return asyncio.run(go())
+    return asyncio.run(run())
 
 
-def test_rack_moves_to_a_member_of_its_failure_domain():
-    made = make_keeper(["d1", "d2", "d3"])
-    assert successor(made, rack_claimer.MIN_OWNED_S + 1) == "m1"
+def test_rack_is_handed_over_to_a_member_of_its_failure_domain():
+    claimer = make_claimer(["d1", "d2", "d3"])
+    assert successor(claimer, rack_claimer.MIN_OWNED_S + 1) == "m1"
 
 
 def test_rack_is_not_handed_back_at_once():
-    """Failed before: a draining member got its rack back, many times."""
-    made = make_keeper(["d1", "d2"])
-    assert successor(made, 0.1) is None
+    """Guards against handing a rack back to the draining member it is from.
+
+    The two members then passed the rack to each other many times.
+    """
+    claimer = make_claimer(["d1", "d2"])
+    assert successor(claimer, 0.1) is None
 
 
 def test_draining_member_hands_over_at_once():
-    made = make_keeper(["d2", "d1"])
-    made.draining = True
-    assert successor(made, 0.1) == "m1"
+    claimer = make_claimer(["d2", "d1"])
+    claimer.draining = True
+    assert successor(claimer, 0.1) == "m1"
 
 
 def test_rack_stays_in_its_failure_domain():
-    made = make_keeper(["d2", "d2", "d1"])
-    assert successor(made, 60.0) is None
+    claimer = make_claimer(["d2", "d2", "d1"])
+    assert successor(claimer, 60.0) is None
 
 
 @pytest.mark.parametrize("gone", ["m1", "m2"])
 def test_all_members_agree_on_the_claimant(gone):
-    state = make_keeper(["d1", "d2", "d2"]).node.tail.state
+    state = make_claimer(["d1", "d2", "d2"]).node.tail.state
     members = [m for m in state.members.values() if m.name != gone]
     chosen = {
         assignment.preferred_owner(
--- a/packages/cicadafold/src/cicadafold/ownership/tests/test_takeover_model.py
+++ b/packages/cicadafold/src/cicadafold/ownership/tests/test_takeover_model.py
@@ -1,9 +1,12 @@
-"""A model of the takeover: any order of steps, delays, pauses, restarts.
+"""Model-based test of the takeover of racks and their workers.
 
-The model follows docs/design/ownership.md. Messages arrive in any order
-and after any delay, or never; owners go on with an old view for as long as
-they like, as a paused process does; the clocks of workers and owners
-advance apart, within the drift that the owners allow for.
+The steps of owners and workers run in any order, with any delays, pauses and
+restarts.
+
+The model follows docs/design/ownership.md. Messages arrive in any order and
+after any delay, or never. An owner may act on an outdated view for any time,
+as a process does that was paused. The clocks of workers and owners drift
+apart, within the limit that owners allow for.
 """
 
 import dataclasses
@@ -29,7 +32,7 @@
 
 @dataclasses.dataclass
 class Task:
-    """A task on a worker; the lease is by the worker's clock."""
+    """A task on a worker; its lease ends by the worker's clock."""
 
     lease: int
     running: bool = True
@@ -37,7 +40,7 @@
 
 @dataclasses.dataclass
 class Worker:
-    """A worker with one slot."""
+    """A worker with ``SLOTS`` slots; times are by its own clock."""
 
     fence: int = 0
     clock: int = 0
@@ -52,11 +55,18 @@
 
 @dataclasses.dataclass
 class Owner:
-    """A process that holds a term, or held one and does not know better.
+    """A process that holds a term, or held one and does not know the newer.
 
     Attributes:
-        views: Requests by worker that the owner counts as running there.
-        known: Requests that it knows to have been started.
+        views: Set of the requests that the owner counts as running, by
+            worker.
+        ahead: Estimate of how far a worker's clock is ahead of the owner's,
+            by worker.
+        epochs: Incarnation of each worker as of its last inventory.
+        leases: End of a lease by the worker's clock, by worker and request.
+        known: Requests that the owner knows to have been started.
+        up_since: Worker's time of its last restart as of its first
+            inventory, by worker; 0 if it was not restarted.
     """
 
     term: int = 0
@@ -70,7 +80,15 @@
 
 
 class Takeover(stateful.RuleBasedStateMachine):
-    """The protocol; request 0 is idempotent, request 1 is not."""
+    """Model of the protocol; request 0 is idempotent, request 1 is not.
+
+    Attributes:
+        checks_fence: Whether workers refuse calls of terms below the fence.
+        confirms_lapse: Whether an owner confirms its term on the control log
+            before it counts a lapsed task as not running.
+        trusts_restarted_workers: Whether an owner takes the empty inventory
+            of a restarted worker as proof that a request never ran.
+    """
 
     checks_fence = True
     confirms_lapse = True
@@ -87,7 +105,7 @@
     def idempotent(self, request):
         return request == 0
 
-    # Time. The clocks of owners and workers advance apart a little.
+    # Time. The clocks of owners may fall behind those of workers.
 
     @stateful.rule(
         steps=st.integers(1, 4), late=st.sets(owners), early=st.sets(workers)
@@ -135,7 +153,7 @@
             owner.up_since[at] = worker.booted
 
     def may_start(self, owner, at, request):
-        """Whether an owner knows that a request may be started."""
+        """Whether an owner may start a request by what it knows."""
         if len(owner.views) < WORKERS or request in owner.known:
             return False
         if len(owner.views[at]) >= SLOTS:
@@ -189,11 +207,11 @@
             self.forget_start(self.owners[index], at, request)
 
     def forget_start(self, owner, at, request):
-        """Takes a refused start back: it never ran."""
+        """Removes a refused start from an owner's view: it never ran."""
         owner.known.discard(request)
         owner.views[at].discard(request)
 
-    # The usual steps at once, so that runs get far.
+    # Common sequences of steps, so that short runs reach deep states.
 
     @stateful.rule(index=owners)
     def take_over(self, index):
@@ -222,7 +240,7 @@
 
     @stateful.rule(index=owners, at=workers, request=requests)
     def give_up_lapsed(self, index, at, request):
-        """Counts a task as not running once its lease has lapsed."""
+        """Counts a task as not running after its lease has lapsed."""
         owner = self.owners[index]
         if request not in owner.views.get(at, ()):
             return
@@ -252,7 +270,7 @@
         worker.booted = max(1, worker.clock)
         worker.tasks = {}
 
-    # What must hold.
+    # Invariants.
 
     @stateful.invariant()
     def no_worker_is_overfilled(self):
@@ -271,19 +289,19 @@
 
 
 class WithoutFence(Takeover):
-    """A naive version: workers take starts of any term."""
+    """A faulty version: workers accept starts of any term."""
 
     checks_fence = False
 
 
 class WithoutConfirmation(Takeover):
-    """A naive version: a lapse is believed without a read of the log."""
+    """A faulty version: a lapse is not confirmed by a read of the log."""
 
     confirms_lapse = False
 
 
 class TrustingRestarts(Takeover):
-    """A naive version: an empty inventory after a restart is a proof."""
+    """A faulty version: an empty inventory after a restart is trusted."""
 
     trusts_restarted_workers = True
 
@@ -302,18 +320,22 @@
 )
 
 
-def test_takeover_keeps_its_promises():
+def test_takeover_keeps_its_invariants():
     stateful.run_state_machine_as_test(Takeover, settings=RUNS)
 
 
-@pytest.mark.parametrize("naive", [WithoutFence, TrustingRestarts])
-def test_model_reports_a_naive_version(naive):
+@pytest.mark.parametrize("faulty_model", [WithoutFence, TrustingRestarts])
+def test_model_detects_a_faulty_version(faulty_model):
     with pytest.raises(AssertionError):
-        stateful.run_state_machine_as_test(naive, settings=SEARCH)
+        stateful.run_state_machine_as_test(faulty_model, settings=SEARCH)
+
 
+def renew_by_newer_owner(machine):
+    """Runs a case in which a lease counted as lapsed was renewed.
 
-def renewed_by_a_newer_owner(machine):
-    """A newer owner renews a lease that the older one thinks lapsed."""
+    A newer owner renews the lease of a task that the older owner counts as
+    lapsed and starts again on another worker.
+    """
     machine.take_over(0)
     machine.start_at_once(0, 0, 0)
     machine.claim(1)
@@ -327,7 +349,7 @@
 
 
 def test_lapse_is_confirmed_by_the_log():
-    """Random runs seldom get there, so that the run is written down."""
-    renewed_by_a_newer_owner(Takeover())
+    """Runs a fixed sequence, as random runs seldom reach this case."""
+    renew_by_newer_owner(Takeover())
     with pytest.raises(AssertionError):
-        renewed_by_a_newer_owner(WithoutConfirmation())
+        renew_by_newer_owner(WithoutConfirmation())
