--- a/packages/cicadafold/src/cicadafold/daemon/node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/node.py
@@ -14,10 +14,10 @@
 from cicadafold.controllog import snapshots
 from cicadafold.controllog import state as control_state
 from cicadafold.controllog import tail
+from cicadafold.coordination import coordinator
 from cicadafold.daemon import supervision
 from cicadafold import exception
 from cicadafold import hosts as host_table
-from cicadafold.ledger import coordinator
 from cicadafold.membership import gossip
 from cicadafold.membership import view
 from cicadafold.ownership import rack_claimer
@@ -79,7 +79,7 @@
         self.incarnation = uuid.uuid4().hex[:8]
         self.metrics = metrics.Metrics()
         self.events = events.RequestEvents(member=self.name)
-        self.burn = burn.BurnBook()
+        self.burn = burn.AnswerCounts()
         self.stop_requested = asyncio.Event()
         self.kinds_revision = -1
         self.kinds = {}
@@ -159,14 +159,14 @@
             token=token,
             own_digests=self.own_digests,
         )
-        self.links = client.PeerLinks(
+        self.links = client.LaneLinks(
             session=self.session,
             token=token,
             resolve=self.resolve,
-            on_lost=self.gossiper.doubt,
+            on_lost=self.gossiper.schedule_probe,
         )
         self.coordinator.start()
-        self.tail.listen(self.on_records)
+        self.tail.add_listener(self.on_records)
 
     def supervisor(self):
         """Returns the supervisor of all components."""
@@ -208,7 +208,7 @@
             failure_domain=self.failure_domain,
             region=self.region,
         )
-        self.appender.append_later(record)
+        self.appender.append_in_background(record)
         while self.own_member() is None:
             await self.tail.changed.wait()
         LOG.info("This member has joined the cell.")
@@ -282,7 +282,7 @@
         for record in found:
             own_claim = isinstance(record, records.Claim) and not record.writer
             if own_claim or isinstance(record, WRITTEN_BY_MEMBER):
-                self.view.note_record(record.member, record.incarnation)
+                self.view.record_log_append(record.member, record.incarnation)
 
     def call_soon(self, function):
         """Calls a function in the next iteration of the event loop."""
@@ -423,7 +423,7 @@
             wait_ms: Expected wait on that rack in milliseconds.
         """
         configuration = self.tail.state.configuration
-        return self.routing.rack_with_room(
+        return self.routing.find_redirect_rack(
             own_rack,
             kind,
             wait_ms=wait_ms,
@@ -466,7 +466,7 @@
         Args:
             owner: Owner of the rack in this process.
         """
-        reached = await self.tail.confirm(timeout_s=CONFIRM_TIMEOUT_S)
+        reached = await self.tail.catch_up(timeout_s=CONFIRM_TIMEOUT_S)
         current = self.tail.state.owners.get(owner.name)
         return (
             reached
--- a/packages/cicadafold/src/cicadafold/ownership/rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from cicadafold import clock
-from cicadafold.controllog import fold
+from cicadafold.controllog import replay
 from cicadafold.membership import messages as gossip
 from cicadafold.ownership import admission
 from cicadafold.ownership import completion
@@ -19,7 +19,7 @@
 from cicadafold.ownership import target_link
 from cicadafold.ownership import task_ids
 from cicadafold.peerlink import frames
-from cicadafold.placement import lanes
+from cicadafold.placement import request_queue
 from cicadafold.platform import messages as platform
 from cicadafold.telemetry import logs
 
@@ -78,7 +78,7 @@
         self.requests = {}
         self.redirected = {}
         self.unresolved = {}
-        self.lanes = lanes.Lanes()
+        self.lanes = request_queue.RequestQueue()
         self.links = {}
         self.link_tasks = {}
         self.recovered = recovered_tasks.RecoveredTasks(rack=self)
@@ -420,7 +420,7 @@
         are discarded once the term is older than the deduplication window.
         """
         now_ms = clock.monotonic_ms()
-        if now_ms - self.started_ms > fold.DEDUPLICATION_WINDOW_MS:
+        if now_ms - self.started_ms > replay.DEDUPLICATION_WINDOW_MS:
             self.recovered.discard_closed()
         while self.expiries and self.expiries[0][0] <= now_ms:
             _, request = self.expiries.popleft()
--- a/packages/cicadafold/src/cicadafold/ownership/starting.py
+++ b/packages/cicadafold/src/cicadafold/ownership/starting.py
@@ -23,10 +23,10 @@
     """
     if owner.retired:
         return
-    while request := owner.lanes.first_urgent():
+    while request := owner.lanes.peek_urgent():
         if not start_queued(owner, request):
             break
-    while request := owner.lanes.first_patient(
+    while request := owner.lanes.peek_patient(
         functools.partial(is_below_quota, owner)
     ):
         if not start_queued(owner, request):
@@ -53,7 +53,7 @@
         return False
     owner.lanes.remove(request)
     if request.kind.lane is messages.Lane.patient:
-        owner.lanes.charge(
+        owner.lanes.charge_team(
             request,
             cost=request.kind.cores * request.kind.tasks / request.kind.worth,
             weight=owner.node.team_weight(request.team),
@@ -94,7 +94,7 @@
     """
     if not queued and must_queue(owner, request):
         return False
-    size = capacity.size_of_kind(request.kind)
+    size = capacity.resources_of_kind(request.kind)
     chosen = choose_links(owner, request, size)
     if not chosen:
         return False
--- a/packages/cicadafold/src/cicadafold/ownership/target_link.py
+++ b/packages/cicadafold/src/cicadafold/ownership/target_link.py
@@ -190,7 +190,7 @@
         Returns:
             The ``TargetTask``; its lease is renewed next.
         """
-        size = host_capacity.Size(
+        size = host_capacity.TaskResources(
             cores=report.cores,
             memory_mb=report.memory_mb,
             accelerators=report.accelerators,
--- a/packages/cicadafold/src/cicadafold/service/peer_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/peer_calls.py
@@ -20,7 +20,7 @@
 @registry.call("POST", "/peer/gossip", registry.Role.PEER)
 async def gossip(node, request):
     """Exchanges heartbeats and digests."""
-    body = node.gossiper.answer(await codec.read_body(request))
+    body = node.gossiper.handle_message(await codec.read_body(request))
     return web.Response(body=body, content_type="application/json")
 
 
@@ -37,7 +37,7 @@
 @registry.call("GET", "/peer/burn", registry.Role.PEER)
 async def burn(node, request):
     """Returns this member's own burn report."""
-    return codec.json_response(operator_calls.own_burn(node))
+    return codec.json_response(operator_calls.local_burn_report(node))
 
 
 @registry.call("GET", "/healthz", registry.Role.ANYONE)
