--- a/packages/cicadafold/src/cicadafold/service/app.py
+++ b/packages/cicadafold/src/cicadafold/service/app.py
@@ -1,4 +1,4 @@
-"""Builds the HTTP application: routes, authorization and error replies."""
+"""Builds the HTTP application: routes, roles of tokens, error replies."""
 
 import hmac
 
--- a/packages/cicadafold/src/cicadafold/service/caller_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/caller_calls.py
@@ -10,9 +10,9 @@
 from cicadafold import clock
 from cicadafold.controllog import records
 from cicadafold.controllog import state as control_state
+from cicadafold.coordination import answers
+from cicadafold.coordination import request_dispatcher
 from cicadafold import exception
-from cicadafold.ledger import answers
-from cicadafold.ledger import placing
 from cicadafold.peerlink import frames
 from cicadafold.service import codec
 from cicadafold.service import registry
@@ -90,7 +90,7 @@
     finally:
         elapsed_s = time.perf_counter() - start_s
         in_time = elapsed_s * clock.MILLISECONDS <= kind.objective_ms
-        node.burn.note(kind.name, good=good and in_time)
+        node.burn.count_answer(kind.name, good=good and in_time)
     record_answer_metrics(node, kind, answer, elapsed_s)
     accepted = answer.outcome is messages.Outcome.accepted
     return codec.json_response(answer, status=202 if accepted else 200)
@@ -134,13 +134,13 @@
     is_service = kind.shape is messages.Shape.service
     if kind.durable or is_service or not kind.idempotent:
         return await node.coordinator.submit(submit_request, kind, deadline_ms)
-    request = placing.PlacingRequest(
+    request = request_dispatcher.PendingRequest(
         submit=submit_request,
         kind=kind,
         deadline_ms=deadline_ms,
         first=submit_request.attempt == 1,
     )
-    reply = await node.coordinator.placing.place(request)
+    reply = await node.coordinator.dispatcher.dispatch(request)
     return answers.answer_of_reply(submit_request.request_id, reply)
 
 
@@ -159,7 +159,7 @@
     require_ready(node)
     entry = node.tail.state.requests.get(request_id)
     if entry is None:
-        confirmed = await node.tail.confirm(timeout_s=CONFIRM_TIMEOUT_S)
+        confirmed = await node.tail.catch_up(timeout_s=CONFIRM_TIMEOUT_S)
         entry = node.tail.state.requests.get(request_id)
         if entry is None:
             raise missing_entry_error(confirmed)
@@ -196,7 +196,7 @@
     """Returns the state of a recorded request as an ``Answer``."""
     outcome = entry.outcome
     if outcome is None:
-        running = entry.request_id in node.coordinator.running
+        running = entry.request_id in node.coordinator.running_replies
         outcome = messages.Outcome.accepted
         if running:
             outcome = messages.Outcome.running
@@ -216,7 +216,9 @@
         request_id=entry.request_id, kind=entry.kind, team=entry.team
     )
     deadline_ms = clock.monotonic_ms() + ANSWER_TIMEOUT_S * clock.MILLISECONDS
-    answer = await node.coordinator.follow(submit_request, deadline_ms)
+    answer = await node.coordinator.wait_for_answer(
+        submit_request, deadline_ms
+    )
     return codec.json_response(answer)
 
 
@@ -267,7 +269,7 @@
         The owner's reply; None if the rack has no live owner, or if the
         owner did not answer or no longer owns the rack.
     """
-    owner = node.coordinator.placing.live_owner(rack)
+    owner = node.coordinator.dispatcher.live_owner(rack)
     if owner is None:
         return None
     frame = frames.CancelFrame(serial=0, rack=rack, request_id=request_id)
@@ -297,7 +299,7 @@
     outcome = answers.OUTCOME_BY_STATUS[reply.status]
     request_id = entry.request_id if entry else ""
     if entry is not None and outcome is messages.Outcome.cancelled:
-        node.appender.append_later(
+        node.appender.append_in_background(
             records.Done(request_id=request_id, outcome=outcome)
         )
     return messages.Answer(
