--- a/packages/cicadafold/src/cicadafold/service/caller_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/caller_calls.py
@@ -21,7 +21,7 @@
 
 ANSWER_TIMEOUT_S = 30.0
 PEER_TIMEOUT_S = 1.0
-CONFIRM_TIMEOUT_S = 1.0
+CATCH_UP_TIMEOUT_S = 1.0
 MICROSECONDS_PER_S = 1_000_000
 
 SUBMIT_DECODER = msgspec.json.Decoder(messages.SubmitRequest)
@@ -159,20 +159,20 @@
     require_ready(node)
     entry = node.tail.state.requests.get(request_id)
     if entry is None:
-        confirmed = await node.tail.catch_up(timeout_s=CONFIRM_TIMEOUT_S)
+        caught_up = await node.tail.catch_up(timeout_s=CATCH_UP_TIMEOUT_S)
         entry = node.tail.state.requests.get(request_id)
         if entry is None:
-            raise missing_entry_error(confirmed)
+            raise missing_entry_error(caught_up)
     return entry
 
 
-def missing_entry_error(confirmed):
+def missing_entry_error(caught_up):
     """Returns the error for a request without an entry.
 
     Args:
-        confirmed: Whether the control log has been read to its end.
+        caught_up: Whether the control log has been read to its end.
     """
-    if confirmed:
+    if caught_up:
         return exception.UnknownRequest(
             message="There is no record of this request.",
             remedy="Submit it again with the same request id and attempt 2.",
