--- a/packages/cicadafold/src/cicadafold/ownership/completion.py
+++ b/packages/cicadafold/src/cicadafold/ownership/completion.py
@@ -48,7 +48,7 @@
 def record_run(owner, task, end, request):
     """Updates the mean run times and the failure count of the worker.
 
-    Ends without a report tell nothing about either and are ignored.
+    Only ends that the worker reported count.
     """
     if end.reason is not Reason.REPORTED:
         return
--- a/packages/cicadafold/src/cicadafold/ownership/rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack.py
@@ -52,7 +52,7 @@
         redirected: Names of the racks that requests were redirected to, by
             request identifier.
         unresolved: Held requests that an earlier dispatch may have started,
-            by identifier, until the workers' inventories tell.
+            by identifier, until the workers' inventories show it.
         lanes: Queued requests.
         links: ``TargetLink`` of each worker, by name of the worker.
         link_tasks: Tasks that run the links, by name of the worker.
--- a/packages/cicadafold/src/cicadafold/ownership/recovered_tasks.py
+++ b/packages/cicadafold/src/cicadafold/ownership/recovered_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that an owner has found on its workers without their requests."""
+"""Tasks that workers report before an owner knows their requests."""
 
 from cicadafold_schema import messages
 
@@ -54,7 +54,7 @@
     def add_running(self, link, report, request):
         """Records a running task and renews its lease from now on.
 
-        If its request is known here and not held, the task is a stray one and
+        If its request is known here and not held, the task is not needed and
         its stop is requested.
         """
         task = link.track_running(
@@ -129,7 +129,7 @@
         return bool(self.running.get(request_id) or self.ended.get(request_id))
 
     def are_conclusive(self, request_id):
-        """Whether the recovered tasks of a request tell what became of it.
+        """Whether the recovered tasks of a request show what became of it.
 
         That is so, even if inventories are missing, if one of the tasks runs
         or if all of them have ended with a report.
--- a/packages/cicadafold/src/cicadafold/ownership/target_link.py
+++ b/packages/cicadafold/src/cicadafold/ownership/target_link.py
@@ -180,7 +180,10 @@
                 self.rack.on_inventory(self, report)
 
     def track_running(self, report, *, lease_ms, on_end):
-        """Tracks a running task that another owner or term has started.
+        """Tracks a running task that was found in the inventory.
+
+        Its lease is assumed to end at most ``lease_ms`` and
+        ``CLOCK_SLACK_MS`` after the lower bound of the worker's clock.
 
         Args:
             report: The worker's report of the task.
--- a/packages/cicadafold/src/cicadafold/ownership/tests/test_takeover_model.py
+++ b/packages/cicadafold/src/cicadafold/ownership/tests/test_takeover_model.py
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass
 class Owner:
-    """A process that holds a term, or held one and does not know the newer.
+    """A process that holds a term, or held one and knows no newer one.
 
     Attributes:
         views: Set of the requests that the owner counts as running, by
