--- a/packages/cicadafold/src/cicadafold/controllog/__init__.py
+++ b/packages/cicadafold/src/cicadafold/controllog/__init__.py
@@ -1,1 +1,1 @@
-"""The system's own stream on the platform's log: records and their fold."""
+"""The control log: its records, and the state that they are applied to."""
--- a/packages/cicadafold/src/cicadafold/controllog/appender.py
+++ b/packages/cicadafold/src/cicadafold/controllog/appender.py
@@ -1,4 +1,7 @@
-"""Group commit: one append carries the records that gathered meanwhile."""
+"""Appends records to the control log by group commit.
+
+Records that arrive while an append is under way share the next one.
+"""
 
 import asyncio
 import time
@@ -19,7 +22,16 @@
 
 
 class PendingRecord:
-    """A record that waits for its append."""
+    """A record that is queued for an append.
+
+    Attributes:
+        record: The control record.
+        future: Future of the caller that waits for the offset, or None.
+        retry_refused: Whether the record is queued again after a refused
+            append, instead of failing its caller.
+        maybe_appended: Whether an earlier append of the record was not
+            confirmed, so that the record may be on the log.
+    """
 
     def __init__(self, *, record, future, retry_refused):
         self.record = record
@@ -31,8 +43,21 @@
 class Appender:
     """Appends records in batches, one append at a time.
 
-    An append whose answer was lost is repeated: every record carries an
-    identifier or a comparison that makes its repetition harmless.
+    An append without a reply is repeated. That is safe because each record
+    holds an identifier, or the value that it expects in the state, by which
+    a duplicate is recognized when it is applied.
+
+    Args:
+        stream: Stream of the platform's log that holds the control log.
+        metrics: Metrics of this process.
+        count_members: Function that returns the number of processes that
+            append to the control log.
+
+    Attributes:
+        pending: Queued records, the next one to append first.
+        has_pending: Event that is set while records are queued.
+        down: Whether the last append was refused.
+        last_refused_s: Monotonic time in seconds of the last refusal.
     """
 
     def __init__(self, *, stream, metrics, count_members):
@@ -45,10 +70,10 @@
         self.last_refused_s = 0.0
 
     async def append(self, record):
-        """Appends a record.
+        """Appends a record and returns its offset on the log.
 
         Args:
-            record: A record of the control stream.
+            record: A control record.
 
         Raises:
             LogUnavailable: The record is not on the log and never will be.
@@ -61,18 +86,18 @@
         return await future
 
     def append_in_background(self, record):
-        """Appends a record as soon as the log takes it."""
+        """Queues a record that is retried until the log has accepted it."""
         self.enqueue(
             PendingRecord(record=record, future=None, retry_refused=True)
         )
 
     def enqueue(self, pending):
-        """Adds a record to the next batch."""
+        """Queues a record for the next batch."""
         self.pending.append(pending)
         self.has_pending.set()
 
     async def run(self):
-        """Appends batches for as long as the process lives."""
+        """Appends queued records in batches until it is cancelled."""
         while True:
             await self.has_pending.wait()
             await asyncio.sleep(self.batch_delay_s())
@@ -83,16 +108,17 @@
             await self.append_batch(batch)
 
     def batch_delay_s(self):
-        """Returns how long records gather before an append.
+        """Returns the seconds for which records are collected into a batch.
 
-        All members together stay below 100 appends a second.
+        The delay grows with the number of processes, so that all of them
+        together stay below 100 appends per second.
         """
         return max(
             MIN_BATCH_DELAY_S, self.count_members() * BATCH_DELAY_PER_MEMBER_S
         )
 
     async def append_batch(self, batch):
-        """Appends one batch and settles its records."""
+        """Appends one batch and passes the result to the waiting callers."""
         body = records.encode_entry([p.record for p in batch])
         try:
             offset = await self.stream.append(body)
@@ -111,21 +137,28 @@
                     pending.future.set_result(offset)
 
     def handle_refused_append(self, batch, error):
-        """Fails the records that are surely not on the log."""
+        """Handles a batch that the log refused.
+
+        Records with ``retry_refused`` are queued again. The others fail:
+        with ``LinkLost`` if an earlier append may have stored the record,
+        else with the error of the refusal.
+        """
         self.set_down(True)
-        kept = []
+        retried = []
         for pending in batch:
             if pending.retry_refused:
-                kept.append(pending)
+                retried.append(pending)
             elif pending.maybe_appended:
                 fail(pending, unconfirmed_append())
             else:
                 fail(pending, error)
-        self.requeue(kept)
+        self.requeue(retried)
 
     def handle_lost_answer(self, batch, error):
-        """Repeats the records whose append may have taken effect."""
-        LOG.warning("The answer to an append was lost. It is repeated.")
+        """Queues a batch again that the log may have stored."""
+        LOG.warning(
+            "The control log did not confirm an append. It is repeated."
+        )
         for pending in batch:
             pending.maybe_appended = True
         self.requeue(batch)
@@ -137,32 +170,40 @@
             self.has_pending.set()
 
     def is_refusing(self):
-        """Whether an append was refused a short while ago.
+        """Whether an append was refused within ``REFUSAL_EXPIRY_S``.
 
-        After a while the next append tries again; without it nobody would
-        notice that the log is back.
+        Callers that check this first append nothing while it holds. It
+        expires so that a later append detects that the log accepts appends
+        again.
         """
         elapsed_s = time.monotonic() - self.last_refused_s
         return self.down and elapsed_s < REFUSAL_EXPIRY_S
 
     def set_down(self, down):
-        """Logs when the log goes down or comes back."""
+        """Records whether appends are refused, and logs each change.
+
+        Args:
+            down: Whether the last append was refused.
+        """
         if down:
             self.last_refused_s = time.monotonic()
         if down != self.down:
             self.down = down
-            LOG.warning("Appends are %s.", "refused" if down else "taken")
+            LOG.warning(
+                "Appends to the control log are %s.",
+                "refused" if down else "accepted again",
+            )
 
 
 def fail(pending, error):
-    """Fails a record's caller if it still waits."""
+    """Sets an error for the caller of a record, if it still waits."""
     if pending.future and not pending.future.done():
         pending.future.set_exception(error)
 
 
 def unconfirmed_append():
-    """Builds the error of a record that may be on the log."""
+    """Returns the error for a record that may be on the log."""
     return exception.LinkLost(
-        message="The log stopped answering after an append.",
+        message="The control log did not confirm an append.",
         remedy="Ask for the request's status later.",
     )
--- a/packages/cicadafold/src/cicadafold/controllog/records.py
+++ b/packages/cicadafold/src/cicadafold/controllog/records.py
@@ -1,7 +1,7 @@
-"""Records of the control stream.
+"""Records of the control log.
 
-One entry of the log is a JSON array of records, as a process appends all
-records that gathered while its last append was under way.
+An entry of the log is a JSON array of records: a process appends all records
+together that were queued while its last append was under way.
 """
 
 from cicadafold.platform import messages as platform
@@ -32,11 +32,11 @@
     omit_defaults=True,
     gc=False,
 ):
-    """Base of all records."""
+    """Base class of all control records."""
 
 
 class Join(RecordBase, tag="join"):
-    """A process has started; a newer join of a name replaces it."""
+    """A process has started; a later join of the same name replaces it."""
 
     member: str
     incarnation: str
@@ -46,21 +46,23 @@
 
 
 class Leave(RecordBase, tag="leave"):
-    """A process stops for good, or was found dead by another."""
+    """A process has stopped, or another process found that it failed."""
 
     member: str
     incarnation: str
 
 
 class Claim(RecordBase, tag="claim"):
-    """Makes a member the owner of a rack.
+    """Makes a process the owner of a rack.
 
-    The claim holds only if the rack's term is still ``previous``. The
-    offset of the entry becomes the new term.
+    The claim has an effect only if the rack's term is still ``previous``.
+    The offset of its entry becomes the new term.
 
     Attributes:
-        writer: Member that wrote the claim, if it is another one that
-            hands the rack over.
+        member: Name of the new owner.
+        previous: Term of the rack that the claim ends; 0 for the first one.
+        writer: Name of the process that hands the rack over by this claim;
+            empty if the new owner wrote the claim itself.
     """
 
     rack: str
@@ -71,11 +73,11 @@
 
 
 class RackHosts(RecordBase, tag="hosts"):
-    """The workers that an owner may start tasks on.
+    """The workers on which the owner of a rack may start tasks.
 
-    Whoever owns the rack next must read the inventory of each of them,
-    also of those that the platform's list no longer shows. The record
-    holds only if the rack's term is still ``term``.
+    The next owner must read the inventory of each of them, including those
+    that are no longer in the platform's list of hosts. The record has an
+    effect only if the rack's term is still ``term``.
     """
 
     rack: str
@@ -84,7 +86,15 @@
 
 
 class Accept(RecordBase, tag="accept"):
-    """A durable or non-idempotent request is accepted."""
+    """A durable or non-idempotent request is accepted.
+
+    Attributes:
+        member: Name of the process that coordinates the request.
+        nonce: Identifier of this record, by which its writer recognizes
+            whether this or another accept record was applied.
+        region: Region that the request comes from.
+        deadline_ms: Milliseconds from the acceptance to the deadline.
+    """
 
     request_id: str
     member: str
@@ -98,9 +108,10 @@
 
 
 class Adopt(RecordBase, tag="adopt"):
-    """Makes a member the coordinator of a request.
+    """Makes a process the coordinator of an open request.
 
-    The adoption holds only if the request's attempt is still ``previous``.
+    The record has an effect only if the request's attempt is still
+    ``previous``. The offset of its entry becomes the new attempt.
     """
 
     request_id: str
@@ -110,7 +121,7 @@
 
 
 class Done(RecordBase, tag="done"):
-    """The final outcome of a recorded request; the first one holds."""
+    """The final outcome of a recorded request; only the first has effect."""
 
     request_id: str
     outcome: messages.Outcome
@@ -128,7 +139,8 @@
 class Change(RecordBase, tag="change"):
     """A change of the configuration.
 
-    The change holds only if the revision is still ``base_revision``.
+    The change has an effect only if the revision is still
+    ``base_revision``.
     """
 
     change_id: str
@@ -138,11 +150,11 @@
 
 
 class Snapshot(RecordBase, tag="snapshot"):
-    """The whole folded state after the entry at ``through``.
+    """The whole state after the entry at ``through`` was applied.
 
     Attributes:
         through: Offset of the last entry that the state contains.
-        state: The folded state as JSON.
+        state: The ``ControlState`` as JSON.
     """
 
     through: int
--- a/packages/cicadafold/src/cicadafold/controllog/replay.py
+++ b/packages/cicadafold/src/cicadafold/controllog/replay.py
@@ -1,7 +1,8 @@
-"""Folds records into the agreed state, by a registry of functions.
+"""Replays the control log: applies its records in order to the state.
 
-Every function is deterministic: members that fold the same entries hold
-the same state, which is what makes the order of the log decide.
+A registry holds one function per type of record. All of them are
+deterministic, so that processes which apply the same entries hold the same
+state. Conflicting records are thereby decided by their order on the log.
 """
 
 from cicadafold_schema import messages
@@ -19,7 +20,13 @@
 
 
 def applies(record_type):
-    """Registers the function that folds one type of record."""
+    """Returns a decorator that registers the function of a record type.
+
+    Args:
+        record_type: Class of the records that the function applies. Its
+            arguments are the state, the record, and the log entry that
+            holds the record.
+    """
 
     def register(function):
         APPLY_FUNCTIONS[record_type] = function
@@ -30,7 +37,7 @@
 
 @applies(records.Join)
 def apply_join(state, record, entry):
-    """Registers a member; its older incarnation counts as gone."""
+    """Adds a process to the state; replaces its earlier incarnation."""
     state.members[record.member] = control_state.MemberEntry(
         name=record.member,
         incarnation=record.incarnation,
@@ -43,7 +50,7 @@
 
 @applies(records.Leave)
 def apply_leave(state, record, entry):
-    """Marks the incarnation of a member as gone."""
+    """Marks a process as left, unless a newer incarnation has joined."""
     member = state.members.get(record.member)
     if member and member.incarnation == record.incarnation:
         member.left = True
@@ -51,7 +58,10 @@
 
 @applies(records.Claim)
 def apply_claim(state, record, entry):
-    """Gives a rack a new owner if nobody else came first."""
+    """Makes the claiming process the owner of a rack.
+
+    A claim whose ``previous`` is no longer the rack's term has no effect.
+    """
     owner = state.owners.get(record.rack)
     current = owner.term if owner else 0
     if record.previous != current:
@@ -65,7 +75,10 @@
 
 @applies(records.RackHosts)
 def apply_rack_hosts(state, record, entry):
-    """Records the workers that the owner of a rack may use."""
+    """Sets the workers on which the owner of a rack may start tasks.
+
+    A record of an earlier term of the rack has no effect.
+    """
     owner = state.owners.get(record.rack)
     if owner is not None and owner.term == record.term:
         state.rack_hosts[record.rack] = record.hosts
@@ -73,9 +86,10 @@
 
 @applies(records.Accept)
 def apply_accept(state, record, entry):
-    """Records a request; a later accept of the same id is a duplicate.
+    """Adds a request to the state.
 
-    A request that was not run may be submitted again under its id.
+    A second accept record of the same request id has no effect, unless the
+    request ended as not run: then it may be submitted again under its id.
     """
     known = state.requests.get(record.request_id)
     if known is not None:
@@ -99,7 +113,11 @@
 
 @applies(records.Adopt)
 def apply_adopt(state, record, entry):
-    """Gives an open request a new coordinator."""
+    """Sets a new coordinator for an open request.
+
+    A record whose ``previous`` is no longer the request's attempt has no
+    effect.
+    """
     request = state.requests.get(record.request_id)
     if request is None or not control_state.is_open(request):
         return
@@ -112,7 +130,7 @@
 
 @applies(records.Done)
 def apply_done(state, record, entry):
-    """Closes a request; the first outcome holds."""
+    """Sets the outcome of a request; only the first one has an effect."""
     request = state.requests.get(record.request_id)
     if request is None or not control_state.is_open(request):
         return
@@ -126,7 +144,7 @@
 
 @applies(records.CancelMark)
 def apply_cancel(state, record, entry):
-    """Marks a request as cancelled."""
+    """Marks an open request as cancelled."""
     request = state.requests.get(record.request_id)
     if request is not None and control_state.is_open(request):
         request.cancelled = True
@@ -134,7 +152,11 @@
 
 @applies(records.Change)
 def apply_change(state, record, entry):
-    """Puts a configuration in force if its base is the current one."""
+    """Replaces the configuration and adds the change to the history.
+
+    The change has no effect if it has been applied before, or if its base
+    is not the current revision.
+    """
     if any(e.change_id == record.change_id for e in state.history):
         return
     if record.base_revision != state.configuration.revision:
@@ -154,14 +176,18 @@
 
 @applies(records.Snapshot)
 def apply_snapshot(state, record, entry):
-    """Needs nothing: a member that folds has this state already."""
+    """Does nothing: the state already contains what the snapshot holds."""
 
 
 def expire_requests(state, now_ms):
-    """Forgets requests that were done before the window.
+    """Removes requests that ended before the deduplication window.
+
+    The requests are in the order of their acceptance, so that the search
+    stops at the first one that was accepted within the window.
 
-    Requests are in the order of their acceptance, so that only the oldest
-    are looked at.
+    Args:
+        state: The state to change.
+        now_ms: Log time of the last applied entry in milliseconds.
     """
     limit = now_ms - DEDUPLICATION_WINDOW_MS
     expired = []
@@ -175,29 +201,35 @@
 
 
 def apply_entry(state, entry):
-    """Folds one entry of the log into the state.
+    """Applies one entry of the log to the state.
 
     Args:
-        state: The state after the entry before this one.
+        state: The state after the preceding entry; changed in place.
         entry: The entry at offset ``state.offset + 1``.
 
     Returns:
         The records that the entry holds.
     """
-    found = records.decode_entry(entry.body)
-    for record in found:
+    applied = records.decode_entry(entry.body)
+    for record in applied:
         APPLY_FUNCTIONS[type(record)](state, record, entry)
     state.offset = entry.offset
     expire_requests(state, entry.at_ms)
-    return found
+    return applied
 
 
 class StateReplay:
-    """Folds entries, and starts from a snapshot where needed.
+    """Replay of the control log in one process, with its state.
 
-    A new member sees entries from the oldest that the log keeps. Unless
-    this is the first ever, its state is incomplete until a snapshot whose
-    ``through`` is not before the oldest entry seen has come by.
+    A process that starts reads from the oldest entry that the log retains.
+    Unless that is the first entry ever appended, the state is incomplete
+    until a snapshot has been read that covers all entries before the first
+    one read. Entries are buffered until then.
+
+    Attributes:
+        state: The state after the last applied entry.
+        complete: Whether the state contains all entries of the log so far.
+        buffer: Entries that wait for a snapshot.
     """
 
     def __init__(self):
@@ -206,11 +238,20 @@
         self.buffer = []
 
     def start(self, oldest):
-        """Notes the oldest entry that the log keeps."""
+        """Sets whether the log still retains its first entry.
+
+        Args:
+            oldest: Offset of the oldest entry that the log retains.
+        """
         self.complete = oldest <= 1
 
     def apply_entry(self, entry):
-        """Takes the next entry and returns the records it holds."""
+        """Applies the next entry, or buffers it while a snapshot is missing.
+
+        Returns:
+            The records that were applied; empty if the entry was buffered
+            or is contained in the state already.
+        """
         if self.complete:
             if entry.offset <= self.state.offset:
                 return []
@@ -218,7 +259,14 @@
         return self.buffer_until_snapshot(entry)
 
     def buffer_until_snapshot(self, entry):
-        """Buffers an entry until a usable snapshot is found."""
+        """Buffers an entry; starts from a snapshot that the entry holds.
+
+        A snapshot can be used if it covers all entries before the first
+        buffered one.
+
+        Returns:
+            The records that were applied; empty without such a snapshot.
+        """
         self.buffer.append(entry)
         first = self.buffer[0].offset
         for record in records.decode_entry(entry.body):
@@ -231,21 +279,25 @@
         return []
 
     def start_without_snapshot(self):
-        """Folds what was buffered although earlier entries are lost."""
+        """Applies the buffered entries although earlier ones are lost."""
         self.complete = True
         entries, self.buffer = self.buffer, []
         for entry in entries:
             self.apply_entry(entry)
 
     def start_from_snapshot(self, snapshot):
-        """Takes over a snapshot and folds what came after it."""
+        """Replaces the state by a snapshot and applies the entries after it.
+
+        Returns:
+            The records of the buffered entries that were applied.
+        """
         self.state = msgspec.json.decode(
             snapshot.state, type=control_state.ControlState
         )
         self.complete = True
-        found = []
+        applied = []
         for entry in self.buffer:
             if entry.offset > self.state.offset:
-                found.extend(apply_entry(self.state, entry))
+                applied.extend(apply_entry(self.state, entry))
         self.buffer = []
-        return found
+        return applied
--- a/packages/cicadafold/src/cicadafold/controllog/snapshots.py
+++ b/packages/cicadafold/src/cicadafold/controllog/snapshots.py
@@ -1,4 +1,8 @@
-"""Appends the folded state again, well before its records expire."""
+"""Appends snapshots of the state to the control log.
+
+A snapshot is appended well before the records that the state was built from
+expire in the log.
+"""
 
 import asyncio
 
@@ -11,44 +15,59 @@
 
 __all__ = ["Snapshotter"]
 
-MAX_PERIOD_S = 5.0
-RETENTION_SHARE = 1 / 8
-MAX_ENTRIES = 20_000
+MAX_CHECK_PERIOD_S = 5.0
+INTERVAL_PER_RETENTION = 1 / 8
+MAX_ENTRIES_BETWEEN_SNAPSHOTS = 20_000
 
 LOG = logs.get_logger("snapshot")
 
 
 class Snapshotter:
-    """Appends a snapshot when the last one is old.
+    """Appends a snapshot when the last one is old or many entries ago.
+
+    Only the process with the greatest rendezvous weight appends them. Two
+    processes that do so at once cause no harm. A process that starts builds
+    its state from the last snapshot.
+
+    Args:
+        node: The services of this process.
+        retention_s: Time for which the log retains entries, in seconds.
 
-    The member with the greatest rendezvous weight does it; two at once do
-    no harm. A new member starts from the last snapshot.
+    Attributes:
+        interval_s: Age of the last snapshot, in seconds, at which the next
+            one is due.
+        check_period_s: Seconds between two checks.
+        last_snapshot_offset: Offset of the last entry that the last
+            snapshot contains; 0 before one was read.
+        last_snapshot_s: Event loop time in seconds when the last snapshot
+            was read; None until the first read or check. If none was read
+            by the first check, the next snapshot is due one period later.
     """
 
     def __init__(self, *, node, retention_s):
         self.node = node
-        self.interval_s = retention_s * RETENTION_SHARE
-        self.check_period_s = min(MAX_PERIOD_S, self.interval_s / 2)
-        self.last_offset = 0
-        self.last_s = None
+        self.interval_s = retention_s * INTERVAL_PER_RETENTION
+        self.check_period_s = min(MAX_CHECK_PERIOD_S, self.interval_s / 2)
+        self.last_snapshot_offset = 0
+        self.last_snapshot_s = None
 
     async def run(self):
-        """Looks each period whether a snapshot is due."""
+        """Appends a snapshot each time that one is due, until cancelled."""
         self.node.tail.add_listener(self.on_records)
         while True:
             await asyncio.sleep(self.check_period_s)
             if self.is_due():
                 await self.append()
 
-    def on_records(self, found):
-        """Notes the snapshots of all members."""
-        for record in found:
+    def on_records(self, applied):
+        """Records the offset and time of the snapshots of all processes."""
+        for record in applied:
             if isinstance(record, records.Snapshot):
-                self.last_offset = record.through
-                self.last_s = asyncio.get_running_loop().time()
+                self.last_snapshot_offset = record.through
+                self.last_snapshot_s = asyncio.get_running_loop().time()
 
     def is_due(self):
-        """Whether this member should append a snapshot now."""
+        """Whether this process should append a snapshot now."""
         node = self.node
         if not node.tail.ready or not node.log_is_usable():
             return False
@@ -62,14 +81,19 @@
         if not node.view.is_self(chosen):
             return False
         now_s = asyncio.get_running_loop().time()
-        if self.last_s is None:
-            self.last_s = now_s - self.interval_s + self.check_period_s
+        if self.last_snapshot_s is None:
+            self.last_snapshot_s = (
+                now_s - self.interval_s + self.check_period_s
+            )
             return False
-        entries = node.tail.state.offset - self.last_offset
-        return now_s - self.last_s >= self.interval_s or entries >= MAX_ENTRIES
+        entries = node.tail.state.offset - self.last_snapshot_offset
+        return (
+            now_s - self.last_snapshot_s >= self.interval_s
+            or entries >= MAX_ENTRIES_BETWEEN_SNAPSHOTS
+        )
 
     async def append(self):
-        """Appends the state as it is folded now."""
+        """Appends a snapshot of the current state."""
         state = self.node.tail.state
         record = records.Snapshot(
             through=state.offset,
@@ -78,6 +102,11 @@
         try:
             await self.node.appender.append(record)
         except (exception.LogUnavailable, exception.LinkLost):
-            LOG.warning("The log took no snapshot. It is tried again.")
+            LOG.warning(
+                "The control log did not confirm a snapshot. Another one is "
+                "appended at the next check."
+            )
             return
-        LOG.info("The state through entry %d is on the log.", state.offset)
+        LOG.info(
+            "A snapshot through entry %d is on the control log.", state.offset
+        )
--- a/packages/cicadafold/src/cicadafold/controllog/state.py
+++ b/packages/cicadafold/src/cicadafold/controllog/state.py
@@ -1,4 +1,4 @@
-"""State that every member folds from the control stream."""
+"""State that each process builds by replaying the control log."""
 
 from cicadafold.platform import messages as platform
 from cicadafold_schema import messages
@@ -14,7 +14,7 @@
 
 
 class MemberEntry(msgspec.Struct, kw_only=True):
-    """A member as its last join record describes it.
+    """A process of the cell, as described by its last join record.
 
     Attributes:
         joined_at: Offset of the join record.
@@ -31,7 +31,7 @@
 
 
 class Ownership(msgspec.Struct, kw_only=True):
-    """Owner of a rack; the term is the offset of its claim."""
+    """Owner of a rack; the term is the offset of its claim record."""
 
     member: str
     incarnation: str
@@ -42,9 +42,15 @@
     """A recorded request.
 
     Attributes:
-        attempt: Offset of the accept or adopt record that holds.
+        coordinator: Name of the process that coordinates the request.
+        incarnation: Incarnation of the coordinator.
+        nonce: Identifier of the accept record that was applied.
+        attempt: Offset of the accept or adopt record that set the current
+            coordinator.
         accepted_ms: Log time of the accept record in milliseconds.
-        done_ms: Log time of the done record; 0 while open.
+        deadline_ms: Milliseconds from the acceptance to the deadline.
+        done_ms: Log time of the done record in milliseconds; 0 while the
+            request is open.
     """
 
     request_id: str
@@ -67,10 +73,17 @@
 
 
 class ControlState(msgspec.Struct, kw_only=True):
-    """Everything that is agreed by the order of the control stream.
+    """State that all processes derive from the order of the control log.
 
     Attributes:
-        offset: Offset of the last folded entry.
+        offset: Offset of the last applied entry.
+        members: Processes by name.
+        owners: Owners by name of the rack.
+        rack_hosts: Recorded workers by name of the rack.
+        requests: Recorded requests by request id, in the order of their
+            acceptance.
+        configuration: The configuration in force.
+        history: Changes of the configuration, the oldest first.
     """
 
     offset: int = 0
--- a/packages/cicadafold/src/cicadafold/controllog/tail.py
+++ b/packages/cicadafold/src/cicadafold/controllog/tail.py
@@ -1,4 +1,4 @@
-"""Reads the control stream to its end and keeps the fold current."""
+"""Tail reader of the control log: applies new entries as they appear."""
 
 import asyncio
 
@@ -9,19 +9,31 @@
 
 __all__ = ["Tail"]
 
-WAIT_MS = 2000
+READ_WAIT_MS = 2000
 RETRY_PAUSE_S = 0.2
 
 LOG = logs.get_logger("log")
 
 
 class Tail:
-    """Follows the control stream.
+    """Tail reader of the control log.
+
+    Args:
+        stream: Stream of the platform's log that holds the control log.
+        accept_lost_state: Whether to start from the retained entries if
+            neither the first entry nor a snapshot is retained.
 
     Attributes:
-        fold: The folded state.
+        replay: Replay of the entries read so far.
+        next_offset: Offset of the next entry to read.
+        at_end: Whether the last read reached the end of the log.
         reachable: Whether the last read succeeded.
-        log_ahead_ms: Upper bound of the log's clock over our monotonic one.
+        log_ahead_ms: Upper bound, in milliseconds, of the log's clock minus
+            the monotonic clock of this process.
+        changed: Event that is set, and replaced by a new one, after each
+            read.
+        listeners: Functions that are called with the records of each
+            applied entry.
     """
 
     def __init__(self, *, stream, accept_lost_state=False):
@@ -39,24 +51,28 @@
 
     @property
     def state(self):
-        """The folded state."""
+        """The state after the last applied entry."""
         return self.replay.state
 
     @property
     def ready(self):
-        """Whether the whole state has been folded at least once."""
+        """Whether the state is complete and was read to the log's end."""
         return self.at_end and self.replay.complete
 
     def age_ms(self, log_ms):
-        """Returns the greatest age that a time of the log can have."""
+        """Returns the greatest possible age of a log time in milliseconds.
+
+        Args:
+            log_ms: Time of the log's clock in milliseconds.
+        """
         return clock.monotonic_ms() + self.log_ahead_ms - log_ms
 
     def add_listener(self, function):
-        """Calls a function with the records of each folded entry."""
+        """Adds a function to call with the records of each applied entry."""
         self.listeners.append(function)
 
     async def run(self):
-        """Follows the stream for as long as the process lives."""
+        """Reads the control log until it is cancelled."""
         while True:
             try:
                 await self.read_once()
@@ -65,8 +81,8 @@
                 await asyncio.sleep(RETRY_PAUSE_S)
 
     async def read_once(self):
-        """Reads and folds what has been appended."""
-        wait_ms = WAIT_MS if self.at_end else 0
+        """Reads new entries once and applies them."""
+        wait_ms = READ_WAIT_MS if self.at_end else 0
         sent_ms = clock.monotonic_ms()
         reply = await self.stream.read(start=self.next_offset, wait_ms=wait_ms)
         self.set_reachable(True, "")
@@ -84,55 +100,78 @@
         self.notify_waiters()
 
     def handle_lost_state(self):
-        """Notes that the log holds no whole state any more."""
+        """Handles a log that retains neither its first entry nor a snapshot.
+
+        Starts from the retained entries if that is accepted. Otherwise it
+        logs an error once and keeps waiting for a snapshot.
+        """
         if self.accept_lost_state:
-            LOG.warning("The state is lost. It begins with what is left.")
+            LOG.warning(
+                "The control log is incomplete. The state starts from the "
+                "entries that are left."
+            )
             self.replay.start_without_snapshot()
         elif not self.warned:
             self.warned = True
             LOG.error(
-                "The log has no whole state. Wait for a snapshot of another "
-                "member, or set platform.accept_lost_state for one start."
+                "The control log is incomplete and has no snapshot. Wait for "
+                "a snapshot of another process, or set "
+                "platform.accept_lost_state for one start."
             )
 
     def restart(self, reply):
-        """Starts anew from a snapshot after entries were missed.
+        """Discards the state after entries expired before they were read.
+
+        A process that was paused for longer than the log's retention time
+        must not apply later entries to its old state. It needs a snapshot.
 
-        A process that was paused for longer than the log keeps entries
-        must not go on with its old state.
+        Args:
+            reply: The reply of the log whose first entry is not the next
+                one to read.
         """
         if self.next_offset > 1:
-            LOG.warning("Entries were missed. The state is read anew.")
+            LOG.warning(
+                "Entries of the control log expired before they were read. "
+                "The state is built again from a snapshot."
+            )
             self.replay = replay.StateReplay()
         self.replay.start(reply.oldest)
 
     def apply_entry(self, entry):
-        """Folds an entry and tells the listeners."""
+        """Applies an entry and calls the listeners with its records."""
         self.next_offset = entry.offset + 1
-        found = self.replay.apply_entry(entry)
+        applied = self.replay.apply_entry(entry)
         for function in self.listeners:
-            function(found)
+            function(applied)
 
     def notify_waiters(self):
-        """Wakes all that wait for a change of the state."""
+        """Wakes the tasks that wait for a change of the state."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def set_reachable(self, reachable, reason):
-        """Logs when the log goes away or comes back."""
+        """Records whether the log can be read, and logs each change.
+
+        Args:
+            reachable: Whether the last read succeeded.
+            reason: Message of the error; empty after a successful read.
+        """
         if reachable != self.reachable:
             self.reachable = reachable
             LOG.warning(
-                "The log is %s. %s",
+                "The control log is %s. %s",
                 "readable" if reachable else "not readable",
                 reason,
             )
 
     async def catch_up(self, *, timeout_s):
-        """Folds up to the end of the log as it is after this call began.
+        """Waits until the entries appended before this call are applied.
+
+        Args:
+            timeout_s: Timeout of the read and of the wait, in seconds each.
 
         Returns:
-            Whether the log answered in time.
+            Whether the entries were applied in time.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -151,7 +190,7 @@
 
         Args:
             condition: Function without arguments.
-            timeout_s: Seconds to wait at most.
+            timeout_s: Greatest time to wait in seconds.
 
         Returns:
             Whether the condition holds.
--- a/packages/cicadafold/src/cicadafold/controllog/tests/test_appender.py
+++ b/packages/cicadafold/src/cicadafold/controllog/tests/test_appender.py
@@ -1,4 +1,4 @@
-"""Appends whose answers are lost or refused are settled truthfully."""
+"""Callers learn whether a refused or unconfirmed append may be stored."""
 
 import asyncio
 
@@ -11,7 +11,12 @@
 
 
 class FakeStream:
-    """A stream that answers as a script says."""
+    """A stream whose appends end as scripted.
+
+    Args:
+        script: End of each append in turn, ``ok``, ``lost`` or ``refused``;
+            later appends succeed.
+    """
 
     def __init__(self, script):
         self.script = list(script)
@@ -29,24 +34,24 @@
 
 
 def run_append(script, *, retry_refused=False):
-    """Appends one record and returns the outcome and the stream."""
+    """Appends one record; returns its offset or error, and the stream."""
 
     async def go():
         stream = FakeStream(script)
-        made = appender.Appender(
+        control_appender = appender.Appender(
             stream=stream,
             metrics=metrics.Metrics(),
             count_members=lambda: 1,
         )
-        task = asyncio.create_task(made.run())
+        task = asyncio.create_task(control_appender.run())
         record = records.Leave(member="a", incarnation="i")
         try:
             if retry_refused:
-                made.append_in_background(record)
-                while made.pending or not stream.bodies:
+                control_appender.append_in_background(record)
+                while control_appender.pending or not stream.bodies:
                     await asyncio.sleep(0.01)
                 return None, stream
-            return await made.append(record), stream
+            return await control_appender.append(record), stream
         except exception.CicadafoldError as error:
             return error, stream
         finally:
@@ -55,50 +60,52 @@
     return asyncio.run(go())
 
 
-def test_all_members_together_stay_below_the_append_rate():
+def test_append_rate_of_all_processes_stays_below_limit():
     for members in (1, 7, 24):
-        made = appender.Appender(
+        control_appender = appender.Appender(
             stream=FakeStream([]),
             metrics=metrics.Metrics(),
             count_members=lambda members=members: members,
         )
-        assert members / made.batch_delay_s() <= 100.0001
+        assert members / control_appender.batch_delay_s() <= 100.0001
 
 
-def test_refused_append_is_surely_not_on_the_log():
+def test_refused_append_is_not_on_the_log():
     outcome, stream = run_append(["refused"])
     assert isinstance(outcome, exception.LogUnavailable)
     assert stream.bodies == []
 
 
-def test_lost_answer_is_repeated():
+def test_unconfirmed_append_is_repeated():
     outcome, stream = run_append(["lost", "ok"])
     assert outcome == 2
     assert stream.bodies[0] == stream.bodies[1]
 
 
-def test_lost_then_refused_is_not_called_refused():
+def test_refusal_after_unconfirmed_append_is_reported_as_lost():
     outcome, _ = run_append(["lost", "refused"])
     assert isinstance(outcome, exception.LinkLost)
 
 
-def test_lasting_record_outlives_an_outage():
+def test_background_append_is_retried_through_an_outage():
     _, stream = run_append(["refused", "refused", "ok"], retry_refused=True)
     assert len(stream.bodies) == 1
 
 
 @pytest.mark.parametrize("count", [1, 40])
-def test_records_that_gather_share_one_append(count):
+def test_queued_records_share_one_append(count):
     async def go():
         stream = FakeStream([])
-        made = appender.Appender(
+        control_appender = appender.Appender(
             stream=stream,
             metrics=metrics.Metrics(),
             count_members=lambda: 1,
         )
-        task = asyncio.create_task(made.run())
+        task = asyncio.create_task(control_appender.run())
         record = records.Leave(member="a", incarnation="i")
-        await asyncio.gather(*(made.append(record) for _ in range(count)))
+        await asyncio.gather(
+            *(control_appender.append(record) for _ in range(count))
+        )
         task.cancel()
         return stream
 
@@ -107,14 +114,18 @@
     assert len(records.decode_entry(stream.bodies[0])) == count
 
 
-def test_log_is_tried_again_after_a_refusal(monkeypatch):
-    """Failed before: one refusal kept the ledger closed for good."""
-    made = appender.Appender(
+def test_refusal_expires(monkeypatch):
+    """Guards against a single refusal that blocks requests forever.
+
+    Without an expiry no append is tried, so that the process cannot detect
+    that the log accepts appends again.
+    """
+    control_appender = appender.Appender(
         stream=FakeStream([]),
         metrics=metrics.Metrics(),
         count_members=lambda: 1,
     )
-    made.set_down(True)
-    assert made.is_refusing()
+    control_appender.set_down(True)
+    assert control_appender.is_refusing()
     monkeypatch.setattr(appender, "REFUSAL_EXPIRY_S", 0.0)
-    assert not made.is_refusing()
+    assert not control_appender.is_refusing()
--- a/packages/cicadafold/src/cicadafold/controllog/tests/test_replay.py
+++ b/packages/cicadafold/src/cicadafold/controllog/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""The fold agrees with a naive one, also when it starts in the middle."""
+"""Replay agrees with a naive scan, also when it starts from a snapshot."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -63,7 +63,7 @@
 
 
 def entries_of(stream):
-    """Returns the log's entries of a stream of record batches."""
+    """Returns log entries, one for each batch of records."""
     return [
         platform.LogEntry(
             offset=offset,
@@ -75,16 +75,16 @@
 
 
 def replay_all(entries):
-    """Folds entries that begin with the first of the log."""
-    found = replay.StateReplay()
-    found.start(1)
+    """Returns the state after entries that start with the log's first."""
+    state_replay = replay.StateReplay()
+    state_replay.start(1)
     for entry in entries:
-        found.apply_entry(entry)
-    return found.state
+        state_replay.apply_entry(entry)
+    return state_replay.state
 
 
 def naive_owner(stream, rack):
-    """Finds the owner of a rack by scanning for each claim in turn."""
+    """Returns owner and term of a rack by a scan of its claims."""
     term = 0
     owner = None
     for offset, batch in enumerate(stream, start=1):
@@ -96,7 +96,7 @@
 
 
 def naive_attempt(stream, request_id):
-    """Finds coordinator, attempt and outcome of a request by scanning."""
+    """Returns coordinator, attempt and outcome of a request by a scan."""
     found = None
     for offset, batch in enumerate(stream, start=1):
         for record in batch:
@@ -133,22 +133,22 @@
 
 
 @given(streams)
-def test_revision_counts_each_change_once_and_never_falls(stream):
-    found = replay.StateReplay()
-    found.start(1)
+def test_revision_increases_once_per_change(stream):
+    state_replay = replay.StateReplay()
+    state_replay.start(1)
     last = 0
     for entry in entries_of(stream):
-        found.apply_entry(entry)
-        revision = found.state.configuration.revision
+        state_replay.apply_entry(entry)
+        revision = state_replay.state.configuration.revision
         assert last <= revision
         last = revision
-    identifiers = [e.change_id for e in found.state.history]
+    identifiers = [e.change_id for e in state_replay.state.history]
     assert len(identifiers) == len(set(identifiers)) == last
 
 
 @given(streams, st.integers(0, 12), st.integers(0, 12))
-def test_fold_from_snapshot_equals_whole_fold(stream, through, cut):
-    """A joiner that missed the first entries gets the same state."""
+def test_replay_from_snapshot_equals_full_replay(stream, through, cut):
+    """A process that cannot read the first entries gets the same state."""
     entries = entries_of(stream)
     through = min(through, len(entries))
     cut = min(cut, through)
@@ -161,25 +161,27 @@
         at_ms=len(entries) * 10 + 10,
         body=msgspec.Raw(records.encode_entry([snapshot])),
     )
-    joiner = replay.StateReplay()
-    joiner.start(max(2, cut + 1))
+    partial_replay = replay.StateReplay()
+    partial_replay.start(max(2, cut + 1))
     for entry in [*entries[cut:], last]:
-        joiner.apply_entry(entry)
-    whole = replay_all([*entries, last])
-    assert joiner.complete
-    assert msgspec.to_builtins(joiner.state) == msgspec.to_builtins(whole)
+        partial_replay.apply_entry(entry)
+    full_state = replay_all([*entries, last])
+    assert partial_replay.complete
+    assert msgspec.to_builtins(partial_replay.state) == msgspec.to_builtins(
+        full_state
+    )
 
 
-def test_joiner_without_snapshot_is_incomplete():
-    joiner = replay.StateReplay()
-    joiner.start(7)
-    joiner.apply_entry(
+def test_replay_without_first_entry_or_snapshot_is_incomplete():
+    partial_replay = replay.StateReplay()
+    partial_replay.start(7)
+    partial_replay.apply_entry(
         platform.LogEntry(offset=7, at_ms=1, body=msgspec.Raw(b"[]"))
     )
-    assert not joiner.complete
+    assert not partial_replay.complete
 
 
-def test_done_requests_are_forgotten_after_the_window():
+def test_ended_requests_are_removed_after_deduplication_window():
     accept = records.Accept(
         request_id="q",
         member="a",
@@ -191,8 +193,8 @@
         deadline_ms=1,
     )
     done = records.Done(request_id="q", outcome=messages.Outcome.done)
-    found = replay.StateReplay()
-    found.start(1)
+    state_replay = replay.StateReplay()
+    state_replay.start(1)
     window = replay.DEDUPLICATION_WINDOW_MS
     times = [0, 1, window - 1, window + 2]
     batches = [[accept], [done], [], []]
@@ -201,8 +203,8 @@
         zip(times, batches, strict=True), start=1
     ):
         body = msgspec.Raw(records.encode_entry(batch))
-        found.apply_entry(
+        state_replay.apply_entry(
             platform.LogEntry(offset=offset, at_ms=at_ms, body=body)
         )
-        kept.append("q" in found.state.requests)
+        kept.append("q" in state_replay.state.requests)
     assert kept == [True, True, True, False]
--- a/packages/cicadafold/src/cicadafold/coordination/__init__.py
+++ b/packages/cicadafold/src/cicadafold/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Requests from their acceptance to their one final answer."""
+"""Coordinates recorded requests: acceptance, adoption, final outcome."""
--- a/packages/cicadafold/src/cicadafold/coordination/adoption.py
+++ b/packages/cicadafold/src/cicadafold/coordination/adoption.py
@@ -1,8 +1,9 @@
-"""Finds another coordinator for requests whose own is gone.
+"""Adopts requests whose coordinator has failed or left.
 
-The member with the greatest rendezvous weight appends an adopt record. The
-first one in the log's order holds, and its offset fences the dispatches of
-the earlier coordinator.
+The process with the greatest rendezvous weight for a request appends an adopt
+record. Of several, only the first on the control log has an effect. Its
+offset becomes the attempt of the request, so that rack owners refuse the
+dispatches of the earlier coordinator.
 """
 
 import asyncio
@@ -19,21 +20,24 @@
 __all__ = ["Adopter"]
 
 ADOPT_PERIOD_S = 0.5
-ADOPTED_MIN_BUDGET_MS = 5000
+MIN_ADOPTED_BUDGET_MS = 5000
 
 LOG = logs.get_logger("ledger")
 
 
 class Adopter:
-    """Adopts the open requests that fall to this member.
+    """Adopts open requests of which this process should be coordinator.
 
     Args:
         node: The services of this process.
-        coordinate: Function that takes the request of an adoption.
+        coordinate: Function that starts to coordinate a
+            ``PendingRequest`` after its adoption.
 
     Attributes:
-        adopting: Requests whose adopt record is on its way.
-        open_ids: Requests without a final outcome.
+        adopting: Identifiers of the requests whose adopt record was sent
+            and is not applied yet.
+        open_ids: Identifiers of the requests without a final outcome.
+        indexed_state: State for which ``open_ids`` was last computed.
     """
 
     def __init__(self, *, node, coordinate):
@@ -44,7 +48,7 @@
         self.indexed_state = None
 
     def on_record(self, record):
-        """Follows which requests are open, and adoptions."""
+        """Updates the open requests, and handles adopt records."""
         if isinstance(record, records.Done):
             self.open_ids.discard(record.request_id)
         elif isinstance(record, records.Accept):
@@ -53,24 +57,28 @@
             self.on_adopt(record)
 
     def on_adopt(self, record):
-        """Coordinates a request that this member has adopted."""
+        """Starts to coordinate a request that this process has adopted."""
         self.adopting.discard(record.request_id)
         if record.incarnation != self.node.incarnation:
             return
         entry = self.node.tail.state.requests.get(record.request_id)
         if entry is None or not control_state.is_open(entry):
             return
-        ours = (
+        is_coordinator = (
             entry.coordinator == self.node.name
             and entry.incarnation == self.node.incarnation
         )
         kind = self.node.kind(entry.kind)
-        if ours and kind is not None:
-            LOG.info("%s is adopted.", entry.request_id)
+        if is_coordinator and kind is not None:
+            LOG.info(
+                "Request %s is coordinated by this process from now on: its "
+                "earlier coordinator failed or left.",
+                entry.request_id,
+            )
             self.coordinate(self.build_request(entry, kind))
 
     def build_request(self, entry, kind):
-        """Builds the request of an adopted entry."""
+        """Returns the pending request of an adopted entry."""
         submit = messages.SubmitRequest(
             request_id=entry.request_id,
             kind=entry.kind,
@@ -79,8 +87,8 @@
             origin=entry.region,
         )
         age_ms = self.node.tail.age_ms(entry.accepted_ms)
-        rest_ms = entry.deadline_ms - age_ms
-        budget_ms = max(ADOPTED_MIN_BUDGET_MS, rest_ms)
+        remaining_ms = entry.deadline_ms - age_ms
+        budget_ms = max(MIN_ADOPTED_BUDGET_MS, remaining_ms)
         request = request_dispatcher.PendingRequest(
             submit=submit,
             kind=kind,
@@ -95,14 +103,17 @@
         return request
 
     async def run(self):
-        """Adopts the requests whose coordinator is gone."""
+        """Checks for requests to adopt until it is cancelled."""
         while True:
             await asyncio.sleep(ADOPT_PERIOD_S)
             if self.node.tail.ready and not self.node.view.draining:
                 self.adopt_orphans()
 
     def adopt_orphans(self):
-        """Appends adopt records for the requests that fall to us."""
+        """Adopts each open request whose coordinator is not alive.
+
+        Only the preferred new coordinator of a request does so.
+        """
         members = self.node.rack_claimer.eligible_members()
         state = self.node.tail.state
         self.index_open_requests(state)
@@ -120,7 +131,11 @@
                 asyncio.create_task(self.adopt(entry))
 
     def index_open_requests(self, state):
-        """Finds the open requests once after a snapshot was taken over."""
+        """Finds the open requests anew after the state was replaced.
+
+        Args:
+            state: The current replayed state.
+        """
         if self.indexed_state is state:
             return
         self.indexed_state = state
@@ -131,19 +146,28 @@
         }
 
     def coordinator_is_alive(self, entry, state):
-        """Whether the coordinator of a request counts as alive."""
+        """Whether the coordinator of a request is alive in its incarnation."""
         member = state.members.get(entry.coordinator)
         if member is None or member.incarnation != entry.incarnation:
             return False
         return self.node.view.is_alive(member)
 
     def is_preferred_coordinator(self, entry, members):
-        """Whether this member should adopt a request."""
-        near = [m for m in members if m.region == entry.region] or members
-        if not near:
+        """Whether this process should adopt a request.
+
+        Processes in the region of the request precede all others.
+
+        Args:
+            entry: Entry of the request in the replayed state.
+            members: Processes that can become coordinator.
+        """
+        candidates = [
+            m for m in members if m.region == entry.region
+        ] or members
+        if not candidates:
             return False
         chosen = max(
-            near,
+            candidates,
             key=lambda m: assignment.rendezvous_weight(
                 entry.request_id, m.name
             ),
@@ -151,7 +175,10 @@
         return self.node.view.is_self(chosen)
 
     async def adopt(self, entry):
-        """Appends the adopt record of one request."""
+        """Appends the adopt record of one request.
+
+        After a failed append the request may be adopted again later.
+        """
         record = records.Adopt(
             request_id=entry.request_id,
             member=self.node.name,
--- a/packages/cicadafold/src/cicadafold/coordination/answers.py
+++ b/packages/cicadafold/src/cicadafold/coordination/answers.py
@@ -1,4 +1,4 @@
-"""Turns replies and ledger entries into the answers of the schema."""
+"""Converts replies of rack owners and request entries into answers."""
 
 from cicadafold_schema import messages
 
@@ -27,10 +27,14 @@
 
 
 def answer_of_reply(request_id, reply):
-    """Returns the answer of a final reply.
+    """Returns the answer to the caller for a reply of a rack's owner.
+
+    Args:
+        request_id: Identifier of the request.
+        reply: The reply, with a final status or ``RUNNING``.
 
     Raises:
-        CicadafoldError: The request was not done.
+        CicadafoldError: The request did not end as done.
     """
     outcome = OUTCOME_BY_STATUS[reply.status]
     if outcome in (Outcome.done, Outcome.running):
@@ -46,10 +50,13 @@
 
 
 def answer_of_entry(entry):
-    """Returns the answer of a recorded request.
+    """Returns the answer to the caller for a recorded request.
+
+    Args:
+        entry: Entry of the request in the replayed state.
 
     Raises:
-        CicadafoldError: The request was not done.
+        CicadafoldError: The request ended, but not as done.
     """
     if entry.outcome in (None, Outcome.done):
         return messages.Answer(
@@ -62,7 +69,15 @@
 
 
 def outcome_error(outcome, code, text, retry_after_ms):
-    """Builds the exception of an outcome that is not done."""
+    """Returns the exception for an outcome other than done.
+
+    Args:
+        outcome: Outcome of the request.
+        code: Error code of a request that was not run; empty stands for
+            ``overloaded``.
+        text: Message; empty stands for a general one.
+        retry_after_ms: Milliseconds after which to try again, or 0.
+    """
     if outcome is Outcome.failed:
         return exception.TargetFailed(
             message="The target ran the request and failed.",
@@ -76,7 +91,7 @@
     if outcome is Outcome.unknown:
         return exception.OutcomeUnknown(
             message=text or "The request may have run.",
-            remedy="Ask for its status before you repeat it.",
+            remedy="Ask for its status before you submit it again.",
             retry_after_ms=retry_after_ms or None,
         )
     error_code = messages.ErrorCode(code or "overloaded")
@@ -89,7 +104,7 @@
 
 
 def done_fields(reply):
-    """Returns outcome, result, worker and code for the done record."""
+    """Returns the fields of the done record for a final reply."""
     return {
         "outcome": OUTCOME_BY_STATUS[reply.status],
         "result": reply.result,
--- a/packages/cicadafold/src/cicadafold/coordination/coordinator.py
+++ b/packages/cicadafold/src/cicadafold/coordination/coordinator.py
@@ -1,10 +1,11 @@
-"""Accepts, deduplicates and closes recorded requests.
-
-A durable or non-idempotent request is recorded on the log before it is
-dispatched. The first accept record of a request id makes its sender the
-coordinator; everyone else waits for the done record. When a coordinator
-is gone, another member adopts the request, and the offset of the adopt
-record fences the dispatches of the earlier coordinator.
+"""Accepts and deduplicates recorded requests, and records their outcome.
+
+A durable or non-idempotent request is recorded on the control log before it
+is dispatched. The first accept record of a request id makes its sender the
+coordinator; other processes wait for the done record. If a coordinator fails
+or leaves, another process adopts the request. The offset of the adopt record
+becomes the attempt of the request, so that rack owners refuse the dispatches
+of the earlier coordinator.
 """
 
 import asyncio
@@ -25,7 +26,7 @@
 
 __all__ = ["Coordinator"]
 
-SERVICE_POLL_S = 2.0
+SERVICE_POLL_PERIOD_S = 2.0
 RETRY_AFTER_MS = 1000
 MAX_DEADLINE_EXTENSIONS = 5
 
@@ -33,12 +34,19 @@
 
 
 class Coordinator:
-    """The recorded requests of one member.
+    """Handles the recorded requests of one process.
+
+    Args:
+        node: The services of this process.
 
     Attributes:
-        waiters: Futures by request id that wait for the final entry.
-        coordinating: Tasks by request id that this member coordinates.
-        abandoned: Nonces of accept records that were given up on.
+        dispatcher: Sends requests to the owners of racks.
+        waiters: Futures of the waiting callers by request id.
+        request_tasks: Tasks by id of the requests coordinated here.
+        abandoned_nonces: Nonces of accept records whose callers have been
+            told that the outcome is unknown. If such a record is applied
+            later, the request ends as not run.
+        running_replies: Last replies of running services by request id.
     """
 
     def __init__(self, *, node):
@@ -51,19 +59,19 @@
         self.adopter = adoption.Adopter(node=node, coordinate=self.coordinate)
 
     def start(self):
-        """Begins to listen to the control stream."""
+        """Registers for the records of the control log."""
         self.node.tail.add_listener(self.on_records)
 
     async def submit(self, submit, kind, deadline_ms):
-        """Runs a recorded request and returns its answer.
+        """Records and runs a request, and returns its answer.
 
         Args:
             submit: The caller's request.
-            kind: Its kind.
-            deadline_ms: Monotonic time of the final answer.
+            kind: Kind of the request.
+            deadline_ms: Monotonic time in milliseconds of the final answer.
 
         Raises:
-            CicadafoldError: The request was not done.
+            CicadafoldError: The request was not accepted or not done.
         """
         known = self.node.tail.state.requests.get(submit.request_id)
         if known is not None and not ended_not_run(known):
@@ -82,10 +90,17 @@
         return await self.wait_for_answer(submit, deadline_ms)
 
     async def accept(self, submit, kind, deadline_ms):
-        """Records a request; returns its entry if we coordinate it."""
+        """Records a request; returns its entry if it is coordinated here.
+
+        Raises:
+            LogUnavailable: The request was not accepted.
+            OutcomeUnknown: The record was not confirmed in time.
+            RequestConflict: The request id belongs to another request.
+        """
         if not self.node.log_is_usable():
             raise exception.LogUnavailable(
-                message="The log is down; durable work cannot be accepted.",
+                message="The request is not accepted: the control log refuses "
+                "appends or cannot be read.",
                 remedy="Submit again after retry_after_ms.",
                 retry_after_ms=RETRY_AFTER_MS,
             )
@@ -104,32 +119,38 @@
         await self.append_and_apply(record, nonce, deadline_ms)
         entry = self.node.tail.state.requests.get(submit.request_id)
         if entry is None:
-            raise unknown_outcome()
+            raise unknown_outcome_error()
         check_same_request(entry, submit)
         return entry if entry.nonce == nonce else None
 
     async def append_and_apply(self, record, nonce, deadline_ms):
-        """Appends an accept record and waits until it is folded."""
+        """Appends an accept record and waits until it is applied.
+
+        Raises:
+            LogUnavailable: The record was refused.
+            OutcomeUnknown: The record was not applied in time. If that
+                happens later, the request ends as not run.
+        """
         tail = self.node.tail
         try:
             async with asyncio.timeout(remaining_s(deadline_ms)):
                 offset = await self.node.appender.append(record)
         except (exception.LinkLost, TimeoutError) as error:
             self.abandoned_nonces.add(nonce)
-            raise unknown_outcome() from error
-        folded = await tail.wait_until(
+            raise unknown_outcome_error() from error
+        applied = await tail.wait_until(
             lambda: tail.state.offset >= offset,
             timeout_s=remaining_s(deadline_ms),
         )
-        if not folded:
+        if not applied:
             self.abandoned_nonces.add(nonce)
-            raise unknown_outcome()
+            raise unknown_outcome_error()
 
     def coordinate(self, request):
-        """Starts the task that brings a request to its end.
+        """Starts a task that dispatches a request and records its outcome.
 
-        A task of an earlier attempt is given up; its dispatches are
-        refused, and sending them again is safe.
+        A task of an earlier attempt is cancelled. Owners of racks refuse
+        its dispatches, and dispatching the request again is safe.
         """
         earlier = self.request_tasks.get(request.request_id)
         if earlier is not None:
@@ -137,18 +158,26 @@
         task = asyncio.create_task(self.run_request(request))
         self.request_tasks[request.request_id] = task
         task.add_done_callback(
-            functools.partial(self.forget_task, request.request_id)
+            functools.partial(self.remove_ended_task, request.request_id)
         )
 
-    def forget_task(self, request_id, task):
-        """Forgets a task that has ended, and logs a fault of ours."""
+    def remove_ended_task(self, request_id, task):
+        """Removes a task that has ended, and logs an unexpected error."""
         if self.request_tasks.get(request_id) is task:
             del self.request_tasks[request_id]
         if not task.cancelled() and task.exception() is not None:
-            LOG.error("%s failed: %r", request_id, task.exception())
+            LOG.error(
+                "Coordination of %s failed; no outcome is recorded: %r",
+                request_id,
+                task.exception(),
+            )
 
     async def run_request(self, request):
-        """Places a request and records its outcome."""
+        """Dispatches a request until it ends and records its outcome.
+
+        A running service is dispatched again periodically. Nothing is
+        recorded if another process has become the coordinator.
+        """
         while True:
             reply = await self.dispatch(request)
             if not self.is_coordinator_of(request):
@@ -158,7 +187,7 @@
             if reply.status is not frames.ReplyStatus.RUNNING:
                 break
             self.answer_running(request, reply)
-            await asyncio.sleep(SERVICE_POLL_S)
+            await asyncio.sleep(SERVICE_POLL_PERIOD_S)
             request.first = False
             request.deadline_ms = (
                 clock.monotonic_ms() + request.kind.deadline_ms
@@ -166,10 +195,11 @@
         await self.record_outcome(request, reply)
 
     def extend_deadline(self, request, reply):
-        """Whether durable idempotent work is given another deadline.
+        """Extends the deadline of durable idempotent work; returns whether.
 
-        Its callers have been answered by their own deadline; the work
-        itself must not be lost with the owner of its rack.
+        It is dispatched again if its outcome is unknown: its callers are
+        answered by their own deadline, but the request must not be lost
+        with the owner of its rack.
         """
         kind = request.kind
         unknown = reply.status is frames.ReplyStatus.UNKNOWN
@@ -184,7 +214,7 @@
         return True
 
     async def dispatch(self, request):
-        """Places a request; an error becomes a refusal."""
+        """Dispatches a request; returns an error as a ``REFUSED`` reply."""
         try:
             return await self.dispatcher.dispatch(request)
         except exception.CicadafoldError as error:
@@ -197,14 +227,14 @@
             )
 
     def is_coordinator_of(self, request):
-        """Whether this member still coordinates a request."""
+        """Whether this process still coordinates an open request."""
         entry = self.node.tail.state.requests.get(request.request_id)
         if entry is None or not control_state.is_open(entry):
             return False
         return entry.attempt == request.attempt
 
     def answer_running(self, request, reply):
-        """Answers those that wait for a service to be placed."""
+        """Answers the callers that wait for a service to run."""
         self.running_replies[request.request_id] = reply
         answer = answers.answer_of_reply(request.request_id, reply)
         for future in self.waiters.pop(request.request_id, []):
@@ -212,10 +242,11 @@
                 future.set_result(answer)
 
     async def record_outcome(self, request, reply):
-        """Records the outcome and answers those that wait.
+        """Records the outcome of a request and answers its callers.
 
-        An outcome of "not run" is told only after it is on the log, as
-        another member would otherwise adopt the request and run it.
+        Callers learn that a request was not run only after that is on the
+        log, as another process could otherwise adopt the request and run
+        it.
         """
         record = records.Done(
             request_id=request.request_id, **answers.done_fields(reply)
@@ -228,12 +259,12 @@
             await self.node.appender.append(record)
         except (exception.LogUnavailable, exception.LinkLost):
             self.node.appender.append_in_background(record)
-            self.fail_waiters(request.request_id, unknown_outcome())
+            self.fail_waiters(request.request_id, unknown_outcome_error())
         else:
             self.answer_waiters(request.request_id, reply)
 
     def answer_waiters(self, request_id, reply):
-        """Answers those that wait with a final reply."""
+        """Answers the waiting callers of a request by a final reply."""
         try:
             answer = answers.answer_of_reply(request_id, reply)
         except exception.CicadafoldError as error:
@@ -244,13 +275,20 @@
                 future.set_result(answer)
 
     def fail_waiters(self, request_id, error):
-        """Answers those that wait with an error."""
+        """Answers the waiting callers of a request by an error."""
         for future in self.waiters.pop(request_id, []):
             if not future.done():
                 future.set_exception(error)
 
     async def wait_for_answer(self, submit, deadline_ms):
-        """Waits for the final answer of a recorded request."""
+        """Returns the answer to a recorded request when it has ended.
+
+        Returns at once if the caller asked not to wait, or if the request
+        is a running service.
+
+        Raises:
+            CicadafoldError: The request was not done, or not in time.
+        """
         entry = self.node.tail.state.requests.get(submit.request_id)
         if entry is not None and not control_state.is_open(entry):
             return answers.answer_of_entry(entry)
@@ -269,10 +307,10 @@
             async with asyncio.timeout(remaining_s(deadline_ms) + 1.0):
                 return await future
         except TimeoutError as error:
-            raise unknown_outcome() from error
+            raise unknown_outcome_error() from error
 
     def release_waiters(self):
-        """Tells those that wait to ask another member; for a drain."""
+        """Answers all waiting callers as accepted, for a drain."""
         for request_id in list(self.waiters):
             answer = messages.Answer(
                 request_id=request_id, outcome=messages.Outcome.accepted
@@ -281,11 +319,11 @@
                 if not future.done():
                     future.set_result(answer)
 
-    # Records of others.
+    # Records of the control log.
 
-    def on_records(self, found):
-        """Follows the records of the control stream."""
-        for record in found:
+    def on_records(self, applied):
+        """Handles the records of one applied entry of the control log."""
+        for record in applied:
             self.adopter.on_record(record)
             if isinstance(record, records.Done):
                 self.on_done(record)
@@ -293,7 +331,7 @@
                 self.on_accept(record)
 
     def on_done(self, record):
-        """Answers those that wait for a request another member closed."""
+        """Answers the waiting callers of a request that has ended."""
         self.running_replies.pop(record.request_id, None)
         if record.request_id not in self.waiters:
             return
@@ -310,7 +348,7 @@
                 future.set_result(answer)
 
     def on_accept(self, record):
-        """Closes a request whose accept was given up on."""
+        """Ends a request as not run if its accept record was abandoned."""
         if record.nonce not in self.abandoned_nonces:
             return
         self.abandoned_nonces.discard(record.nonce)
@@ -326,12 +364,12 @@
 
 
 def ended_not_run(entry):
-    """Whether a recorded request was closed as not run."""
+    """Whether a recorded request ended as not run."""
     return entry.outcome is messages.Outcome.not_run
 
 
 def check_same_request(entry, submit):
-    """Refuses a request id that is in use for another request."""
+    """Raises RequestConflict if an id is in use for another request."""
     if (entry.kind, entry.team) != (submit.kind, submit.team):
         raise exception.RequestConflict(
             message="The request id is in use for another request.",
@@ -339,15 +377,15 @@
         )
 
 
-def unknown_outcome():
-    """Builds the error of a request that may run or have run."""
+def unknown_outcome_error():
+    """Returns the error for a request that may be running or have run."""
     return exception.OutcomeUnknown(
-        message="The request may run or have run.",
-        remedy="Ask for its status before you repeat it.",
+        message="The request may be running or may have run.",
+        remedy="Ask for its status before you submit it again.",
         retry_after_ms=RETRY_AFTER_MS,
     )
 
 
 def remaining_s(deadline_ms):
-    """Returns the seconds that are left until a deadline."""
+    """Returns the seconds until a monotonic deadline, at least 0."""
     return max(0.0, (deadline_ms - clock.monotonic_ms()) / clock.MILLISECONDS)
--- a/packages/cicadafold/src/cicadafold/coordination/request_dispatcher.py
+++ b/packages/cicadafold/src/cicadafold/coordination/request_dispatcher.py
@@ -1,4 +1,4 @@
-"""Brings one request to the owner of its rack until there is an answer."""
+"""Dispatches requests to the owners of racks until there is a final reply."""
 
 import asyncio
 
@@ -19,16 +19,26 @@
 
 
 class PendingRequest:
-    """A request on its way to the owner of a rack.
+    """A request that waits for the final reply of a rack's owner.
 
     Attributes:
-        attempt: Offset of the record that makes this member coordinator;
+        submit: The caller's request.
+        kind: Kind of the request.
+        deadline_ms: Monotonic time in milliseconds of the deadline.
+        attempt: Offset of the record that makes this process coordinator;
             0 if the request is not recorded.
-        first: Whether no dispatch can have been sent before.
-        adopted: Whether an earlier coordinator may have sent the request
-            to any rack.
-        born_ms: Monotonic time before which no dispatch can have been
-            sent.
+        first: Whether no earlier dispatch can have started the request.
+        adopted: Whether an earlier dispatch may have gone to any rack, so that
+            the owners of all racks are asked for the request first.
+        created_ms: Monotonic time in milliseconds of this object's creation.
+        earliest_dispatch_ms: Monotonic time in milliseconds before which no
+            dispatch can have been sent.
+        spent_us: Microseconds that it took to choose the rack.
+        deadline_extensions: Number of times that the deadline was extended.
+        hops: Number of redirects to another rack.
+        rack: Name of the assigned rack, or None.
+        possibly_run: Whether a rack's owner could not exclude that a lost
+            worker has run the request.
     """
 
     def __init__(
@@ -57,24 +67,28 @@
         self.possibly_run = False
 
     def age_ms(self):
-        """Returns the milliseconds since a dispatch may have been sent."""
+        """Returns the milliseconds since the earliest possible dispatch."""
         return int(clock.monotonic_ms() - self.earliest_dispatch_ms) + 1
 
 
 class RequestDispatcher:
-    """Dispatches requests; every step is safe to repeat."""
+    """Dispatches requests; each step can be repeated without harm."""
 
     def __init__(self, *, node):
         self.node = node
 
     async def dispatch(self, request):
-        """Returns the final reply of the owner of a rack.
+        """Dispatches a request until there is a final reply, or its deadline.
 
         Args:
-            request: The request to place.
+            request: The ``PendingRequest``.
 
         Returns:
-            A reply whose status is not ``MOVED`` or ``REDIRECT``.
+            A reply whose status is neither ``MOVED`` nor ``REDIRECT``.
+
+        Raises:
+            NeverFits: No rack of the cell can ever run the request.
+            Starting: The list of workers has not been received yet.
         """
         started_ms = clock.monotonic_ms()
         if request.rack is None or request.adopted:
@@ -107,11 +121,11 @@
                 return reply
 
     def choose_rack(self, request):
-        """Chooses the home rack among those that could hold the request.
+        """Assigns the preferred rack of those that can run the request.
 
         Raises:
-            NeverFits: No rack of the cell could ever hold it.
-            Starting: The list of workers is not known yet.
+            NeverFits: No rack of the cell can ever run the request.
+            Starting: The list of workers has not been received yet.
         """
         rack = next(self.node.candidate_racks(request), None)
         if rack is not None:
@@ -119,30 +133,35 @@
             return
         if not self.node.hosts.racks:
             raise exception.Starting(
-                message="The list of workers is not known yet.",
+                message="The list of workers has not been received yet.",
                 remedy="Submit again in a moment.",
                 retry_after_ms=clock.MILLISECONDS,
             )
         raise exception.NeverFits(
-            message=f"No rack could ever hold {request.kind.name}.",
+            message=f"No rack can ever run a request of {request.kind.name}.",
             remedy=self.node.largest_worker_text(),
         )
 
     async def locate(self, request):
-        """Finds the rack that an adopted request was sent to.
+        """Finds the rack whose owner knows an adopted request.
+
+        The owners of all racks that can run the request are asked until
+        one knows it or all have answered.
 
         Returns:
-            False if the deadline passed before all racks had answered.
+            False if the deadline passed before that.
         """
-        unasked = set(self.node.racks_that_fit(request.kind))
-        while unasked and clock.monotonic_ms() < request.deadline_ms:
+        pending_racks = set(self.node.racks_that_fit(request.kind))
+        while pending_racks and clock.monotonic_ms() < request.deadline_ms:
             replies = await asyncio.gather(
                 *(
                     self.locate_in_rack(request, rack)
-                    for rack in sorted(unasked)
+                    for rack in sorted(pending_racks)
                 )
             )
-            for rack, reply in zip(sorted(unasked), replies, strict=True):
+            for rack, reply in zip(
+                sorted(pending_racks), replies, strict=True
+            ):
                 if reply is None or reply.status is Status.MOVED:
                     continue
                 if reply.status is Status.KNOWN:
@@ -150,13 +169,17 @@
                     request.possibly_run = False
                     return True
                 request.possibly_run |= reply.status is Status.UNKNOWN
-                unasked.discard(rack)
-            if unasked:
+                pending_racks.discard(rack)
+            if pending_racks:
                 await self.wait_before_retry(request)
-        return not unasked
+        return not pending_racks
 
     async def locate_in_rack(self, request, rack):
-        """Asks the owner of a rack whether it knows a request."""
+        """Asks a rack's owner whether it knows a request.
+
+        Returns:
+            The reply, or None if the owner did not reply.
+        """
         owner = self.live_owner(rack)
         if owner is None:
             return None
@@ -176,7 +199,7 @@
             return None
 
     def live_owner(self, rack):
-        """Returns the member that owns a rack if it counts as alive."""
+        """Returns the process that owns a rack; None if none is alive."""
         state = self.node.tail.state
         owner = state.owners.get(rack)
         if owner is None or not self.node.view.owner_is_alive(owner):
@@ -184,10 +207,11 @@
         return state.members[owner.member]
 
     def try_another_rack(self, request):
-        """Leaves a rack that has long been without an owner.
+        """Assigns another rack if the assigned one stays without an owner.
 
-        Duplicates of a request meet at its home rack, so that it is left
-        only when its owner has not come back for a while.
+        Duplicates of a request are detected at its assigned rack. Therefore
+        another one is assigned only after ``ASSIGNED_RACK_TIMEOUT_MS``, and
+        only if no dispatch can have started the request.
         """
         waited_ms = clock.monotonic_ms() - request.created_ms
         if not request.first or waited_ms < ASSIGNED_RACK_TIMEOUT_MS:
@@ -198,7 +222,16 @@
                 return
 
     async def send_dispatch(self, request, owner, budget_ms):
-        """Sends one dispatch and returns its reply, or None."""
+        """Sends one dispatch to the owner of the assigned rack.
+
+        Args:
+            request: The ``PendingRequest``.
+            owner: Process that owns the assigned rack.
+            budget_ms: Milliseconds until the deadline of the request.
+
+        Returns:
+            The reply, or None if there was none.
+        """
         frame = frames.Dispatch(
             serial=0,
             rack=request.rack,
@@ -225,7 +258,7 @@
             return None
 
     async def wait_before_retry(self, request):
-        """Waits a little, or until the folded state changes."""
+        """Waits ``RETRY_PAUSE_S`` or until the replayed state changes."""
         try:
             async with asyncio.timeout(RETRY_PAUSE_S):
                 await self.node.tail.changed.wait()
@@ -234,25 +267,29 @@
 
 
 def expired_reply(request):
-    """Builds the reply of a request whose deadline has passed."""
+    """Returns the reply for a request whose deadline has passed.
+
+    Its status is ``REFUSED`` if no dispatch can have started the request,
+    else ``UNKNOWN``.
+    """
     if request.first:
         return frames.Reply(
             serial=0,
             status=Status.REFUSED,
             code=messages.ErrorCode.deadline_exceeded.value,
-            text="No owner of a rack could be reached in time.",
+            text="No owner of a rack could be reached before the deadline.",
             retry_after_ms=clock.MILLISECONDS,
         )
     return frames.Reply(
         serial=0,
         status=Status.UNKNOWN,
         started=True,
-        text="The owner of the rack was lost with the request.",
+        text="The owner of the rack did not report an outcome in time.",
     )
 
 
 def possibly_run_reply():
-    """Builds the reply of a request that a lost worker may have run."""
+    """Returns the reply for a request that a lost worker may have run."""
     return frames.Reply(
         serial=0,
         status=Status.UNKNOWN,
--- a/packages/cicadafold/src/cicadafold/coordination/tests/test_coordinator.py
+++ b/packages/cicadafold/src/cicadafold/coordination/tests/test_coordinator.py
@@ -1,4 +1,4 @@
-"""The latest attempt of a request is the one that is coordinated."""
+"""Tests of the coordination of requests, and of task identifiers."""
 
 import asyncio
 import types
@@ -19,40 +19,44 @@
     )
 
 
-def test_second_adoption_replaces_the_first():
-    """Failed before: the task of the older attempt kept the place.
+def test_second_adoption_replaces_the_task_of_the_first():
+    """Guards against a request that no task coordinates any more.
 
-    The older task ended without an outcome, as its attempt was no longer
-    the current one, and nobody looked after the request.
+    If a second adoption kept the task of the older attempt, that task would
+    end without an outcome, as its attempt is no longer the current one.
     """
 
-    async def go():
-        made = coordinator.Coordinator(node=types.SimpleNamespace())
-        placed = []
+    async def run_scenario():
+        request_coordinator = coordinator.Coordinator(
+            node=types.SimpleNamespace()
+        )
+        started_attempts = []
 
         async def run_request(request):
-            placed.append(request.attempt)
+            started_attempts.append(request.attempt)
             await asyncio.sleep(3600)
 
-        made.run_request = run_request
-        made.coordinate(make_request(5))
+        request_coordinator.run_request = run_request
+        request_coordinator.coordinate(make_request(5))
         await asyncio.sleep(0)
-        first = made.request_tasks["q"]
-        made.coordinate(make_request(9))
+        first_task = request_coordinator.request_tasks["q"]
+        request_coordinator.coordinate(make_request(9))
         await asyncio.sleep(0.01)
-        second = made.request_tasks["q"]
-        second_lives = not second.done()
-        second.cancel()
-        return placed, first.cancelled(), second_lives
+        second_task = request_coordinator.request_tasks["q"]
+        second_is_active = not second_task.done()
+        second_task.cancel()
+        return started_attempts, first_task.cancelled(), second_is_active
 
-    placed, first_cancelled, second_lives = asyncio.run(go())
-    assert placed == [5, 9]
-    assert first_cancelled and second_lives
+    started_attempts, first_cancelled, second_is_active = asyncio.run(
+        run_scenario()
+    )
+    assert started_attempts == [5, 9]
+    assert first_cancelled and second_is_active
 
 
-def test_task_names_give_the_request_back():
+def test_task_id_holds_request_id_and_index():
     for count in (1, 4):
         for index in range(count):
-            name = task_ids.task_id("q", index, count)
-            assert task_ids.request_id_of(name) == "q"
-            assert task_ids.index_of(name) == index
+            identifier = task_ids.task_id("q", index, count)
+            assert task_ids.request_id_of(identifier) == "q"
+            assert task_ids.index_of(identifier) == index
