--- a/packages/cicadafold/src/cicadafold/peerlink/client.py
+++ b/packages/cicadafold/src/cicadafold/peerlink/client.py
@@ -70,7 +70,7 @@
         return await future
 
     async def run(self):
-        """Connects, then sends frames and reads replies until the link breaks."""
+        """Connects, then sends frames and reads replies until it breaks."""
         try:
             timeout = aiohttp.ClientWSTimeout(ws_close=CONNECT_TIMEOUT_S)
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
