--- a/packages/cicadafold/src/cicadafold/controllog/records.py
+++ b/packages/cicadafold/src/cicadafold/controllog/records.py
@@ -1,7 +1,7 @@
 """Records of the control log.
 
-An entry of the log is a JSON array of records: a process appends all records
-together that were queued while its last append was under way.
+An entry of the log is a JSON array of records, because a process appends the
+records together that were queued while its last append was under way.
 """
 
 from cicadafold.platform import messages as platform
--- a/packages/cicadafold/src/cicadafold/controllog/replay.py
+++ b/packages/cicadafold/src/cicadafold/controllog/replay.py
@@ -63,8 +63,8 @@
     A claim whose ``previous`` is no longer the rack's term has no effect.
     """
     owner = state.owners.get(record.rack)
-    current = owner.term if owner else 0
-    if record.previous != current:
+    current_term = owner.term if owner else 0
+    if record.previous != current_term:
         return
     state.owners[record.rack] = control_state.Ownership(
         member=record.member,
@@ -189,12 +189,12 @@
         state: The state to change.
         now_ms: Log time of the last applied entry in milliseconds.
     """
-    limit = now_ms - DEDUPLICATION_WINDOW_MS
+    window_start_ms = now_ms - DEDUPLICATION_WINDOW_MS
     expired = []
     for request in state.requests.values():
-        if request.accepted_ms > limit:
+        if request.accepted_ms > window_start_ms:
             break
-        if request.outcome is not None and request.done_ms < limit:
+        if request.outcome is not None and request.done_ms < window_start_ms:
             expired.append(request.request_id)
     for request_id in expired:
         del state.requests[request_id]
--- a/packages/cicadafold/src/cicadafold/controllog/tail.py
+++ b/packages/cicadafold/src/cicadafold/controllog/tail.py
@@ -67,9 +67,9 @@
         """
         return clock.monotonic_ms() + self.log_ahead_ms - log_ms
 
-    def add_listener(self, function):
-        """Adds a function to call with the records of each applied entry."""
-        self.listeners.append(function)
+    def add_listener(self, listener):
+        """Adds a function that is called with each applied entry's records."""
+        self.listeners.append(listener)
 
     async def run(self):
         """Reads the control log until it is cancelled."""
@@ -141,8 +141,8 @@
         """Applies an entry and calls the listeners with its records."""
         self.next_offset = entry.offset + 1
         applied = self.replay.apply_entry(entry)
-        for function in self.listeners:
-            function(applied)
+        for listener in self.listeners:
+            listener(applied)
 
     def notify_waiters(self):
         """Wakes the tasks that wait for a change of the state."""
--- a/packages/cicadafold/src/cicadafold/controllog/tests/test_appender.py
+++ b/packages/cicadafold/src/cicadafold/controllog/tests/test_appender.py
@@ -36,7 +36,7 @@
 def run_append(script, *, retry_refused=False):
     """Appends one record; returns its offset or error, and the stream."""
 
-    async def go():
+    async def run_scenario():
         stream = FakeStream(script)
         control_appender = appender.Appender(
             stream=stream,
@@ -57,7 +57,7 @@
         finally:
             task.cancel()
 
-    return asyncio.run(go())
+    return asyncio.run(run_scenario())
 
 
 def test_append_rate_of_all_processes_stays_below_limit():
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("count", [1, 40])
 def test_queued_records_share_one_append(count):
-    async def go():
+    async def run_scenario():
         stream = FakeStream([])
         control_appender = appender.Appender(
             stream=stream,
@@ -109,7 +109,7 @@
         task.cancel()
         return stream
 
-    stream = asyncio.run(go())
+    stream = asyncio.run(run_scenario())
     assert len(stream.bodies) == 1
     assert len(records.decode_entry(stream.bodies[0])) == count
 
