--- a/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
@@ -62,7 +62,7 @@
 
 
 def measure_routing(count):
-    """Returns the microseconds of choosing a home rack, p50 and p99."""
+    """Returns the microseconds of choosing an assigned rack, p50 and p99."""
     table = host_table(make_hosts(count))
     state = control_state.ControlState()
     view = membership_view.MembershipView(
--- a/packages/cicadafold/src/cicadafold/membership/gossip.py
+++ b/packages/cicadafold/src/cicadafold/membership/gossip.py
@@ -22,7 +22,7 @@
 PROBE_ATTEMPTS = 2
 MAX_DIGESTS = 8
 MAX_HEARTBEATS = 32
-TIMEOUT_S = 0.5
+EXCHANGE_TIMEOUT_S = 0.5
 
 LOG = logs.get_logger("member")
 
@@ -96,7 +96,11 @@
         self.wake_event.set()
 
     async def run_probes(self):
-        """Probes the members that may be unreachable."""
+        """Probes the members that may be unreachable.
+
+        Each is contacted ``PROBE_ATTEMPTS`` times, unless it already counts
+        as dead.
+        """
         members = self.view.state().members
         names, self.view.members_to_probe = self.view.members_to_probe, set()
         suspected = [members.get(name) for name in sorted(names)]
@@ -176,7 +180,7 @@
         other connection errors count as resets. A time-out changes nothing.
         """
         url = f"http://{self.resolve(peer.address)}/peer/gossip"
-        timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
+        timeout = aiohttp.ClientTimeout(total=EXCHANGE_TIMEOUT_S)
         try:
             async with self.session.post(
                 url,
@@ -220,7 +224,8 @@
         for name in sorted(self.logged_alive - names):
             LOG.warning(
                 "Member %s has left or counts as dead: no sign of life within "
-                "the suspicion time, or its address refused connections.",
+                "the suspicion time, or its address refused connections. "
+                "Other members may claim its racks.",
                 name,
             )
         self.logged_alive = names
--- a/packages/cicadafold/src/cicadafold/placement/request_queue.py
+++ b/packages/cicadafold/src/cicadafold/placement/request_queue.py
@@ -113,7 +113,8 @@
 
         Args:
             request: The request that starts.
-            cost: Cost of the request in cores, scaled by its kind's worth.
+            cost: Cost of the request: the cores of all its tasks, divided
+                by the worth of its kind.
             weight: Weight of the team; a larger one gives a larger share.
         """
         team = self.teams.get(request.team)
