--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/__init__.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins that speak the users' platform: store, workers, advice."""
+"""Stand-ins for the users' platform: store, workers and advice service."""
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/advice.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/advice.py
@@ -1,4 +1,4 @@
-"""Stand-in for the service that names the workers a step may use."""
+"""Stand-in for the service that advises which workers a step may use."""
 
 import asyncio
 
@@ -8,18 +8,21 @@
 
 
 class FleetAdvice:
-    """Grants every worker but the denied ones, one call at a time.
+    """Grants all workers but the denied ones, one call at a time.
+
+    Args:
+        decide_s: Duration of each decision.
 
     Attributes:
         denied: Names of workers that are never granted.
-        calls: Workers named in each call.
+        calls: Names of the workers in each call.
     """
 
     def __init__(self, *, decide_s=0.005):
         self.decide_s = decide_s
         self.denied = set()
         self.calls = []
-        self.line = asyncio.Lock()
+        self.lock = asyncio.Lock()
 
     def app(self):
         """Returns the application that serves advice."""
@@ -28,9 +31,9 @@
         return app
 
     async def advise(self, request):
-        """Grants tickets for the workers that a step may use."""
+        """Returns a ticket for each worker that a step may use."""
         message = await request.json()
-        async with self.line:
+        async with self.lock:
             await asyncio.sleep(self.decide_s)
         self.calls.append(message["workers"])
         granted = [
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/cell.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/cell.py
@@ -1,4 +1,4 @@
-"""A small cell on the platform's stand-ins, with real processes."""
+"""A small cell of real processes on stand-ins for the users' platform."""
 
 import asyncio
 import json
@@ -17,16 +17,16 @@
 from cicadafold_standins.fleet import store
 from cicadafold_standins.fleet import worker
 
-__all__ = ["FleetCell", "NodeProcess"]
+__all__ = ["FleetCell", "MemberProcess"]
 
 POOL = "pool-a"
-HOST = "jobs.example"
-PREFIX = "/q/"
+QUEUE_HOST = "jobs.example"
+QUEUE_PATH = "/q/"
 STOP_TIMEOUT_S = 10.0
 START_TIMEOUT_S = 20.0
-BEAT_S = 0.5
+REGISTRATION_INTERVAL_S = 0.5
 
-SETTINGS = """
+SETTINGS_TEMPLATE = """
 nodeName = "{name}"
 zone = "a"
 region = "r"
@@ -46,37 +46,46 @@
 """
 
 
-class NodeProcess:
+class MemberProcess:
     """One process of the cell.
 
     Attributes:
-        front: Address for callers.
-        log: Path of what it writes.
+        name: Name of the member.
+        folder: Path of its settings and log files.
+        caller_address: Address on which it serves callers.
+        process: Its operating system process.
+        log_path: Path of the file that receives its output.
     """
 
-    def __init__(self, *, name, folder, front, process, log):
+    def __init__(self, *, name, folder, caller_address, process, log_path):
         self.name = name
         self.folder = folder
-        self.front = front
+        self.caller_address = caller_address
         self.process = process
-        self.log = log
+        self.log_path = log_path
 
-    def lines(self):
+    def read_log_lines(self):
         """Returns the log lines written so far."""
         found = []
-        for line in self.log.read_text().splitlines():
+        for line in self.log_path.read_text().splitlines():
             if line.startswith("{"):
                 found.append(json.loads(line))
         return found
 
 
 class FleetCell:
-    """Stand-ins in this process, and nodes as processes of their own.
+    """A cell whose members are real processes.
+
+    The stand-ins run in the current process.
 
     Args:
         workers: Number of workers.
         work_ms: Duration of every task.
-        with_advice: Whether queues need advice.
+        with_advice: Whether the queue requires placement advice.
+
+    Attributes:
+        members: Running processes of the cell by name.
+        run_log: Record of the run attempts of all workers.
     """
 
     def __init__(self, *, workers=3, work_ms=100.0, with_advice=False):
@@ -92,10 +101,10 @@
             )
             for number in range(workers)
         ]
-        self.log = run_log.RunLog()
+        self.run_log = run_log.RunLog()
         for each in self.workers:
-            each.log = self.log
-        self.nodes = {}
+            each.run_log = self.run_log
+        self.members = {}
         self.runners = []
         self.tasks = []
         self.session = None
@@ -110,12 +119,12 @@
         for each in self.workers:
             each.address = await self.serve(each.app())
             self.tasks.append(asyncio.create_task(each.run()))
-        self.tasks.append(asyncio.create_task(self.beat()))
-        self.configure(1)
+        self.tasks.append(asyncio.create_task(self.register_workers()))
+        self.publish_configuration(1)
         return self
 
     async def __aexit__(self, *_):
-        for name in list(self.nodes):
+        for name in list(self.members):
             await self.stop(name, signal.SIGKILL)
         for task in self.tasks:
             task.cancel()
@@ -134,20 +143,25 @@
         port = site._server.sockets[0].getsockname()[1]
         return f"127.0.0.1:{port}"
 
-    async def beat(self):
-        """Lets the workers register again and again."""
+    async def register_workers(self):
+        """Renews the registry entry of each worker that is not silent."""
         while True:
             for each in self.workers:
                 if not each.silent:
                     each.register()
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(REGISTRATION_INTERVAL_S)
+
+    def publish_configuration(self, version, **changes):
+        """Publishes a configuration with one queue.
 
-    def configure(self, version, **changes):
-        """Publishes a configuration with one queue."""
+        Args:
+            version: Version of the configuration.
+            changes: Fields of the queue's route that differ from the default.
+        """
         route = {
             "name": "q",
-            "host": HOST,
-            "pathPrefix": PREFIX,
+            "host": QUEUE_HOST,
+            "pathPrefix": QUEUE_PATH,
             "kind": "unsafe",
             "service": POOL,
             "priority": 0,
@@ -166,14 +180,14 @@
         self.store.put("keyed.op", "config", json.dumps(document).encode())
 
     async def start(self, name):
-        """Starts a node and waits until it is ready."""
+        """Starts a process of the cell and waits until it is ready."""
         folder = pathlib.Path(self.folder.name) / name
         folder.mkdir(exist_ok=True)
         peer, last, front, ready = free_ports(4)
         advice_line = f'advice = "{self.advice_address}"'
         path = folder / "boot.toml"
         path.write_text(
-            SETTINGS.format(
+            SETTINGS_TEMPLATE.format(
                 name=name,
                 peer=min(peer, last),
                 last=max(peer, last),
@@ -183,8 +197,8 @@
                 store=self.store_address,
             )
         )
-        log = folder / f"log-{len(self.nodes)}-{peer}.txt"
-        with log.open("wb") as output:
+        log_path = folder / f"log-{len(self.members)}-{peer}.txt"
+        with log_path.open("wb") as output:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -193,19 +207,24 @@
                 stderr=output,
                 env=os.environ | {"CICADAFOLD_NODE_FILE": str(path)},
             )
-        node = NodeProcess(
+        member = MemberProcess(
             name=name,
             folder=folder,
-            front=f"127.0.0.1:{front}",
+            caller_address=f"127.0.0.1:{front}",
             process=process,
-            log=log,
+            log_path=log_path,
         )
-        self.nodes[name] = node
-        await self.until_ready(node, f"127.0.0.1:{ready}")
-        return node
+        self.members[name] = member
+        await self.wait_until_ready(member, f"127.0.0.1:{ready}")
+        return member
 
-    async def until_ready(self, node, address):
-        """Waits until a node says that it is ready."""
+    async def wait_until_ready(self, member, address):
+        """Waits until the readiness endpoint of a process answers 200.
+
+        Raises:
+            RuntimeError: The process has exited.
+            TimeoutError: It was not ready within START_TIMEOUT_S.
+        """
         async with asyncio.timeout(START_TIMEOUT_S):
             while True:
                 try:
@@ -215,59 +234,72 @@
                             return
                 except aiohttp.ClientError:
                     pass
-                if node.process.returncode is not None:
-                    raise RuntimeError(node.log.read_text())
+                if member.process.returncode is not None:
+                    raise RuntimeError(member.log_path.read_text())
                 await asyncio.sleep(0.05)
 
-    async def stop(self, name, number=signal.SIGTERM):
-        """Sends a signal to a node that this cell started, and waits."""
-        node = self.nodes.pop(name)
-        if node.process.returncode is None:
-            node.process.send_signal(number)
+    async def stop(self, name, signal_number=signal.SIGTERM):
+        """Sends a signal to a process of the cell and waits for its exit."""
+        member = self.members.pop(name)
+        if member.process.returncode is None:
+            member.process.send_signal(signal_number)
         async with asyncio.timeout(STOP_TIMEOUT_S):
-            await node.process.wait()
-        return node
+            await member.process.wait()
+        return member
+
+    async def call(self, member, method, job_id="", body=None):
+        """Sends a caller's request and returns its status and JSON body.
 
-    async def call(self, node, method, job="", body=None):
-        """Makes a caller's call and returns status and body."""
-        url = f"http://{node.front}{PREFIX}{job}"
+        Args:
+            member: Process that is called.
+            method: HTTP method.
+            job_id: Identifier of the job, or empty for the queue itself.
+            body: Bytes, an object that is encoded as JSON, or None.
+        """
+        url = f"http://{member.caller_address}{QUEUE_PATH}{job_id}"
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         async with self.session.request(
             method,
             url,
             data=None if body is None else data,
-            headers={"Host": HOST, "Content-Type": "application/json"},
+            headers={"Host": QUEUE_HOST, "Content-Type": "application/json"},
             timeout=aiohttp.ClientTimeout(total=5),
         ) as answer:
             return answer.status, await answer.json()
 
-    async def until_state(self, node, job, wanted, *, timeout_s=15.0):
-        """Waits until a job is shown in a state, and returns all seen."""
+    async def wait_for_state(
+        self, member, job_id, expected, *, timeout_s=15.0
+    ):
+        """Waits until a process reports a job in an expected state.
+
+        Returns:
+            The reported states, without immediate repetitions.
+        """
         seen = []
         async with asyncio.timeout(timeout_s):
             while True:
-                status, body = await self.call(node, "GET", job)
+                status, body = await self.call(member, "GET", job_id)
                 state = body.get("state", status)
                 if not seen or seen[-1] != state:
                     seen.append(state)
-                if state == wanted:
+                if state == expected:
                     return seen
                 await asyncio.sleep(0.05)
 
     def scheduler(self):
-        """Returns the node whose term began last."""
+        """Returns the process with the newest term, None if there is none."""
         newest = None
-        for node in self.nodes.values():
-            for line in node.lines():
-                if line["message"].startswith("term: The term gives"):
+        for member in self.members.values():
+            for line in member.read_log_lines():
+                if line["message"].startswith("term: The term is recovered"):
                     term = line["term"]
                     if newest is None or term > newest[0]:
-                        newest = (term, node)
+                        newest = (term, member)
         return None if newest is None else newest[1]
 
 
 def free_ports(count):
-    """Returns ports that are free now; the first two are adjacent."""
+    """Returns unused ports; the first two are adjacent."""
     sockets = []
     while True:
         first = socket.socket()
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/demo.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/demo.py
@@ -1,4 +1,9 @@
-"""A cell on the platform's stand-ins under load, with a kill and a stop."""
+"""Demo of a cell on stand-ins for the users' platform.
+
+Submits jobs, kills the process with the scheduler once and stops it once,
+then checks that no job is lost, no task is done twice, and no worker gets
+more tasks than fit its capacity.
+"""
 
 import asyncio
 import random
@@ -9,31 +14,33 @@
 
 __all__ = ["main"]
 
-NODES = 3
+MEMBERS = 3
 WORKERS = 6
 JOBS = 60
-PAUSE_S = 0.1
-KILL_AT = 20
-STOP_AT = 40
+SUBMIT_INTERVAL_S = 0.1
+KILL_AFTER_JOB = 20
+STOP_AFTER_JOB = 40
 SEED = 7
 
 
-def body(luck):
-    """Returns a job of one or two steps."""
-    cores = luck.choice((1000, 2000, 4000))
-    steps = [{"count": luck.randint(1, 6), "cpu": cores, "memMb": 64}]
-    if luck.random() < 0.4:
-        gang = {"count": luck.randint(2, 4), "cpu": cores, "memMb": 64}
+def generate_job_body(rng):
+    """Returns the body of a random job with one or two steps."""
+    cores = rng.choice((1000, 2000, 4000))
+    steps = [{"count": rng.randint(1, 6), "cpu": cores, "memMb": 64}]
+    if rng.random() < 0.4:
+        gang = {"count": rng.randint(2, 4), "cpu": cores, "memMb": 64}
         steps.append(gang | {"gang": True, "dependsOn": [0]})
     return {"spec": str(cores), "steps": steps}
 
 
-async def submit(made, luck, job):
-    """Submits a job at any node, again until one accepts it."""
+async def submit(fleet_cell, rng, job_id):
+    """Submits a job at random processes until one accepts it."""
     while True:
-        node = luck.choice(list(made.nodes.values()))
+        member = rng.choice(list(fleet_cell.members.values()))
         try:
-            status, _ = await made.call(node, "POST", job, body(luck))
+            status, _ = await fleet_cell.call(
+                member, "POST", job_id, generate_job_body(rng)
+            )
         except OSError:
             status = 0
         if status == 200:
@@ -42,50 +49,64 @@
 
 
 async def run():
-    """Plays the demo and returns the promises that broke."""
-    luck = random.Random(SEED)
-    jobs = [f"{number:016x}" for number in range(1, JOBS + 1)]
-    async with cell.FleetCell(workers=WORKERS, with_advice=True) as made:
-        for number in range(NODES):
-            await made.start(f"n{number}")
-        for number, job in enumerate(jobs):
-            await submit(made, luck, job)
-            await asyncio.sleep(PAUSE_S)
-            if number == KILL_AT:
-                killed = made.scheduler().name
-                await made.stop(killed, signal.SIGKILL)
-                await made.start(killed)
-            if number == STOP_AT:
-                await made.stop(made.scheduler().name)
-        node = next(iter(made.nodes.values()))
-        lost = []
-        for job in jobs:
+    """Runs the demo.
+
+    Returns:
+        Jobs that were not completed, tasks that were done more than once,
+        and starts that exceeded the capacity of a worker.
+    """
+    rng = random.Random(SEED)
+    job_ids = [f"{number:016x}" for number in range(1, JOBS + 1)]
+    async with cell.FleetCell(workers=WORKERS, with_advice=True) as fleet_cell:
+        for number in range(MEMBERS):
+            await fleet_cell.start(f"n{number}")
+        for number, job_id in enumerate(job_ids):
+            await submit(fleet_cell, rng, job_id)
+            await asyncio.sleep(SUBMIT_INTERVAL_S)
+            if number == KILL_AFTER_JOB:
+                killed = fleet_cell.scheduler().name
+                await fleet_cell.stop(killed, signal.SIGKILL)
+                await fleet_cell.start(killed)
+            if number == STOP_AFTER_JOB:
+                await fleet_cell.stop(fleet_cell.scheduler().name)
+        member = next(iter(fleet_cell.members.values()))
+        not_completed = []
+        for job_id in job_ids:
             try:
-                await made.until_state(node, job, "completed", timeout_s=20.0)
+                await fleet_cell.wait_for_state(
+                    member, job_id, "completed", timeout_s=20.0
+                )
             except TimeoutError:
-                lost.append(job)
-        return lost, twice(made), overfilled(made)
+                not_completed.append(job_id)
+        return (
+            not_completed,
+            tasks_done_twice(fleet_cell),
+            overfilled(fleet_cell),
+        )
 
 
-def twice(made):
-    """Returns the tasks that ended as done more than once."""
-    done = [task for worker in made.workers for task in worker.done]
+def tasks_done_twice(fleet_cell):
+    """Returns the tasks with more than one end as done."""
+    done = [task for worker in fleet_cell.workers for task in worker.done]
     return [task for task in set(done) if done.count(task) > 1]
 
 
-def overfilled(made):
-    """Returns the starts that brought a worker over its capacity."""
-    return [start for worker in made.workers for start in worker.overfilled]
+def overfilled(fleet_cell):
+    """Returns the starts that exceeded the capacity of a worker."""
+    return [
+        start for worker in fleet_cell.workers for start in worker.overfilled
+    ]
 
 
 def main():
-    """Runs the demo; the exit code tells whether a promise broke."""
-    lost, doubled, full = asyncio.run(run())
+    """Runs the demo; exits with 1 if a guarantee was violated."""
+    not_completed, done_twice, full = asyncio.run(run())
     print(
         f"{JOBS} jobs, scheduler killed once and stopped once: "
-        f"{len(lost)} lost, {len(doubled)} doubled, {len(full)} overfilled"
+        f"{len(not_completed)} lost, {len(done_twice)} doubled, "
+        f"{len(full)} overfilled"
     )
-    sys.exit(1 if lost or doubled or full else 0)
+    sys.exit(1 if not_completed or done_twice or full else 0)
 
 
 if __name__ == "__main__":
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/load.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/load.py
@@ -1,30 +1,31 @@
-"""Jobs of many shapes for the soak, and what must become of them."""
+"""Random jobs for the soak, and the results that are expected of them."""
 
 import msgspec
 
 from cicadafold import clock
 
-__all__ = ["MadeJob", "MadeStep", "make_job"]
+__all__ = ["GeneratedJob", "GeneratedStep", "generate_job"]
 
 CORES_MILLI = 2000
 ESTIMATE_MS = 250
 GANG_SHARE = 0.3
 SECOND_STEP_SHARE = 0.3
-FAILING_SHARE = 0.15
-REPEATED_SHARE = 0.1
-# Failed runs after which a job fails, as the cell is configured.
+FAILING_JOB_SHARE = 0.15
+REPEATED_JOB_SHARE = 0.1
+# Failed run attempts of a task after which its job fails, as the cell is
+# configured (maxAttempts).
 MAX_FAILURES = 2
 REPEATS = 2
 INTERVAL_MS = 400
 
 
-class MadeStep(msgspec.Struct, frozen=True):
-    """One step.
+class GeneratedStep(msgspec.Struct, frozen=True):
+    """One step of a generated job.
 
     Attributes:
         tasks: Number of tasks.
-        gang: Whether they run all together.
-        after: Numbers of the steps that must be done before.
+        gang: Whether all tasks must run at the same time.
+        after: Numbers of the steps that must be done before it starts.
     """
 
     tasks: int
@@ -32,47 +33,53 @@
     after: tuple[int, ...]
 
     @property
-    def least_done(self):
-        """Tasks that are done at least; one stands for all of a gang."""
+    def min_done(self):
+        """Least number of ends as done of a step that is done.
+
+        The end of one task as done completes a whole gang.
+        """
         return 1 if self.gang else self.tasks
 
 
-class MadeJob(msgspec.Struct, frozen=True):
-    """One job.
+class GeneratedJob(msgspec.Struct, frozen=True):
+    """One generated job.
 
     Attributes:
         steps: Its steps.
-        fails: How often each of its tasks fails before it is done.
-        repeats: Number of occurrences; 0 means once, at once.
-        cancels: Whether its caller cancels it.
+        failures_per_task: Number of run attempts of each task that fail
+            before one is done.
+        repeats: Number of scheduled occurrences; 0 means that the job runs
+            once and immediately.
+        cancels: Whether its caller cancels it once it is accepted.
     """
 
-    steps: tuple[MadeStep, ...]
-    fails: int
+    steps: tuple[GeneratedStep, ...]
+    failures_per_task: int
     repeats: int
     cancels: bool
 
     @property
-    def states(self):
-        """Final states that it may come to, if it is not cancelled.
+    def possible_final_states(self):
+        """Final states that it may reach if it is not cancelled.
 
-        A failure is lost with a worker that crashes before it is noted.
+        A worker that crashes before a failure is acknowledged loses that
+        failure, so a job that should fail may also be completed.
         """
-        if self.fails >= MAX_FAILURES:
+        if self.failures_per_task >= MAX_FAILURES:
             return {"completed", "failed"}
         return {"completed"}
 
     @property
-    def least_done(self):
-        """Tasks that are done at least when it is completed."""
-        each = sum(step.least_done for step in self.steps)
-        return each * max(1, self.repeats)
+    def min_done(self):
+        """Least number of ends as done of a completed job."""
+        per_occurrence = sum(step.min_done for step in self.steps)
+        return per_occurrence * max(1, self.repeats)
 
     def body(self):
         """Returns the body of the caller's request."""
         steps = []
         for step in self.steps:
-            made = {
+            encoded = {
                 "count": step.tasks,
                 "cpu": CORES_MILLI,
                 "memMb": 64,
@@ -80,9 +87,9 @@
                 "gang": step.gang,
             }
             if step.after:
-                made["dependsOn"] = list(step.after)
-            steps.append(made)
-        spec = f"{CORES_MILLI} fails {self.fails}"
+                encoded["dependsOn"] = list(step.after)
+            steps.append(encoded)
+        spec = f"{CORES_MILLI} fails {self.failures_per_task}"
         body = {"spec": spec, "steps": steps}
         if self.repeats:
             body["repeats"] = self.repeats
@@ -91,23 +98,23 @@
         return body
 
 
-def make_job(luck, *, cancel_share):
+def generate_job(rng, *, cancel_share):
     """Returns a random job.
 
     Args:
-        luck: Source of random choices.
-        cancel_share: Share of jobs that are cancelled.
+        rng: Random number generator.
+        cancel_share: Fraction of jobs that are cancelled.
     """
-    steps = [MadeStep(luck.randint(1, 4), luck.random() < GANG_SHARE, ())]
-    if luck.random() < SECOND_STEP_SHARE:
-        gang = luck.random() < GANG_SHARE
-        steps.append(MadeStep(luck.randint(1, 3), gang, (0,)))
-    # A failure of one member ends the whole run of a gang.
-    gangs = any(step.gang for step in steps)
-    failing = not gangs and luck.random() < FAILING_SHARE
-    return MadeJob(
+    steps = [GeneratedStep(rng.randint(1, 4), rng.random() < GANG_SHARE, ())]
+    if rng.random() < SECOND_STEP_SHARE:
+        gang = rng.random() < GANG_SHARE
+        steps.append(GeneratedStep(rng.randint(1, 3), gang, (0,)))
+    # The failure of one task ends the run attempts of its whole gang.
+    has_gang = any(step.gang for step in steps)
+    failing = not has_gang and rng.random() < FAILING_JOB_SHARE
+    return GeneratedJob(
         steps=tuple(steps),
-        fails=luck.randint(1, MAX_FAILURES) if failing else 0,
-        repeats=REPEATS if luck.random() < REPEATED_SHARE else 0,
-        cancels=luck.random() < cancel_share,
+        failures_per_task=rng.randint(1, MAX_FAILURES) if failing else 0,
+        repeats=REPEATS if rng.random() < REPEATED_JOB_SHARE else 0,
+        cancels=rng.random() < cancel_share,
     )
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/run_log.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/run_log.py
@@ -1,4 +1,4 @@
-"""What has become of the runs of all workers of a cell."""
+"""Record of the starts and ends of run attempts on all workers of a cell."""
 
 import collections
 
@@ -6,38 +6,40 @@
 
 
 class RunLog:
-    """Shared by the workers of a cell.
+    """Starts, ends and acknowledged ends, shared by the workers of a cell.
 
     Attributes:
-        done: Tasks that have ended as done.
-        noted: Tasks whose done ends were acknowledged.
-        failures: How often each task has failed.
-        noted_failures: How often a failure of each task was acknowledged.
-        on_start: Function called with each task that is started, or None.
+        done: Names of tasks with a run attempt that ended as done.
+        acknowledged: Names of tasks whose end as done the scheduler has
+            acknowledged.
+        failures: Number of failed run attempts by task.
+        acknowledged_failures: Number of acknowledged failures by task.
+        on_start: Function called with the name of each task that is started,
+            or None.
     """
 
     def __init__(self):
         self.done = set()
-        self.noted = set()
+        self.acknowledged = set()
         self.failures = collections.Counter()
-        self.noted_failures = collections.Counter()
+        self.acknowledged_failures = collections.Counter()
         self.on_start = None
 
-    def start(self, task):
-        """Notes a start."""
+    def record_start(self, task):
+        """Records that a run attempt of a task was started."""
         if self.on_start is not None:
             self.on_start(task)
 
-    def end(self, task, how):
-        """Notes an end."""
-        if how == "done":
+    def record_end(self, task, outcome):
+        """Records how a run attempt of a task ended."""
+        if outcome == "done":
             self.done.add(task)
-        elif how == "failed":
+        elif outcome == "failed":
             self.failures[task] += 1
 
-    def note(self, task, how):
-        """Notes that an end was acknowledged."""
-        if how == "done":
-            self.noted.add(task)
-        elif how == "failed":
-            self.noted_failures[task] += 1
+    def record_acknowledgement(self, task, outcome):
+        """Records that the scheduler acknowledged the end of a run attempt."""
+        if outcome == "done":
+            self.acknowledged.add(task)
+        elif outcome == "failed":
+            self.acknowledged_failures[task] += 1
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/soak.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/soak.py
@@ -1,7 +1,9 @@
-"""A randomized soak of jobs: real processes, faults from outside them.
+"""Randomized soak of a cell of real processes under injected faults.
 
-Faults come in series and overlap. What callers are told and what workers
-run is checked against the promises while it goes on and at its end.
+Faults of processes, store and workers are injected one after another and
+may overlap. The job states that callers see and the run attempts on workers
+are checked against the guarantees of the cell, during the run and after all
+faults have been healed.
 """
 
 import argparse
@@ -20,25 +22,31 @@
 __all__ = ["FAULTS", "Soak", "fault", "main"]
 
 FAULTS = {}
-NODES = 3
+MEMBERS = 3
 WORKERS = 5
 WORK_MS = 250.0
-SUBMIT_PAUSE_S = 0.12
-FAULT_PAUSE_S = (0.2, 1.5)
-LOOK_PERIOD_S = 0.01
-ASK_PERIOD_S = 0.1
-# A scheduler that the store does not serve gives up its term within this.
-STALE_S = 3.0
-FINAL = ("completed", "failed", "cancelled")
+SUBMIT_INTERVAL_S = 0.12
+FAULT_INTERVAL_S = (0.2, 1.5)
+RUN_CHECK_INTERVAL_S = 0.01
+STATE_POLL_INTERVAL_S = 0.1
+# A scheduler that cannot reach the store ends its term within this time.
+STALE_STATE_S = 3.0
+FINAL_STATES = ("completed", "failed", "cancelled")
 CANCEL_SHARE = 0.1
-# Time for leases to end and for work to be started again, after healing.
-SETTLE_S = 45.0
-GONE_S = 5.0
-CALLS_A_JOB = 40
+# Limit for leases to lapse and jobs to end after all faults are healed.
+RECOVERY_TIMEOUT_S = 45.0
+# Time for the last run attempts to stop after all jobs have ended.
+LAST_RUNS_END_S = 5.0
+MAX_CALLS_PER_JOB = 40
 
 
 def fault(name):
-    """Registers a coroutine function that injects a fault and heals it."""
+    """Registers a coroutine function that injects a fault and heals it.
+
+    Args:
+        name: Key of the fault in FAULTS; it is printed, and the order of the
+            names decides which fault a seed injects.
+    """
 
     def register(function):
         FAULTS[name] = function
@@ -48,332 +56,390 @@
 
 
 @fault("kill node")
-async def kill_node(soak):
-    """Kills a node and starts it again."""
+async def kill_member(soak):
+    """Kills a process of the cell and starts it again."""
     await soak.restart(signal.SIGKILL)
 
 
 @fault("stop node")
-async def stop_node(soak):
-    """Stops a node as planned and starts it again."""
+async def stop_member(soak):
+    """Stops a process of the cell by SIGTERM and starts it again."""
     await soak.restart(signal.SIGTERM)
 
 
 @fault("pause node")
-async def pause_node(soak):
-    """Freezes a node for a while."""
-    name = soak.take_node()
+async def freeze_member(soak):
+    """Freezes a process of the cell for 0.3 to 4 s."""
+    name = soak.pick_member()
     if name is None:
         return
-    process = soak.made.nodes[name].process
+    process = soak.cell.members[name].process
     process.send_signal(signal.SIGSTOP)
-    await asyncio.sleep(soak.luck.uniform(0.3, 4.0))
+    await asyncio.sleep(soak.rng.uniform(0.3, 4.0))
     process.send_signal(signal.SIGCONT)
     soak.busy.discard(name)
 
 
 @fault("store silent")
-async def store_silent(soak):
-    """Lets the store answer nothing."""
-    soak.made.store.silent = True
-    await asyncio.sleep(soak.luck.uniform(0.3, 3.0))
-    soak.made.store.silent = False
+async def silence_store(soak):
+    """Makes the store leave all calls unanswered for 0.3 to 3 s."""
+    soak.cell.store.silent = True
+    await asyncio.sleep(soak.rng.uniform(0.3, 3.0))
+    soak.cell.store.silent = False
 
 
 @fault("store refuses")
-async def store_refuses(soak):
-    """Lets the store refuse all calls."""
-    soak.made.store.refuse = True
-    await asyncio.sleep(soak.luck.uniform(0.3, 3.0))
-    soak.made.store.refuse = False
+async def refuse_store_calls(soak):
+    """Makes the store refuse all calls for 0.3 to 3 s."""
+    soak.cell.store.refusing = True
+    await asyncio.sleep(soak.rng.uniform(0.3, 3.0))
+    soak.cell.store.refusing = False
 
 
 @fault("store loses answers")
-async def store_loses(soak):
-    """Lets the store lose the answers of some appends."""
-    soak.made.store.lose += soak.luck.randint(1, 6)
+async def lose_store_answers(soak):
+    """Makes the store lose the answers of the next 1 to 6 appends."""
+    soak.cell.store.lost_answers_left += soak.rng.randint(1, 6)
 
 
 @fault("store forgets history")
-async def store_forgets(soak):
-    """Lets the store keep only the newest record of each key."""
+async def compact_store(soak):
+    """Makes the store keep only the newest record of each key."""
     for topic in ("keyed.servers", "keyed.op", "keyed.control"):
-        soak.made.store.forget_history(topic)
+        soak.cell.store.compact(topic)
 
 
 @fault("worker silent")
-async def worker_silent(soak):
-    """Cuts a worker off, which runs on."""
-    worker = soak.luck.choice(soak.made.workers)
+async def silence_worker(soak):
+    """Makes a worker leave calls unanswered for 0.5 to 6 s.
+
+    Its tasks keep running.
+    """
+    worker = soak.rng.choice(soak.cell.workers)
     worker.silent = True
-    await asyncio.sleep(soak.luck.uniform(0.5, 6.0))
+    await asyncio.sleep(soak.rng.uniform(0.5, 6.0))
     worker.silent = False
 
 
 @fault("worker reborn")
-async def worker_reborn(soak):
-    """Lets a worker crash and start anew under its name."""
-    soak.luck.choice(soak.made.workers).reset()
+async def restart_worker(soak):
+    """Replaces a worker by a new incarnation of the same name."""
+    soak.rng.choice(soak.cell.workers).restart()
 
 
 @fault("order late")
-async def order_late(soak):
-    """Lets an order be carried out late and never answered."""
-    worker = soak.luck.choice(soak.made.workers)
-    worker.late_s = soak.luck.uniform(0.8, 4.0)
+async def delay_start_command(soak):
+    """Makes a worker apply its next start command late, without an answer."""
+    worker = soak.rng.choice(soak.cell.workers)
+    worker.late_start_delay_s = soak.rng.uniform(0.8, 4.0)
 
 
 class Soak:
-    """One seed: load, faults, and what broke.
+    """Load, faults and checks of one seed.
 
     Args:
-        made: Cell.
-        seed: Seed of all choices.
-        faults: Faults by name, from which it chooses.
+        cell: Cell under test.
+        seed: Seed of all random choices.
+        faults: Faults that may be injected, by name; None means FAULTS.
 
     Attributes:
         accepted: Jobs that were accepted, by identifier.
-        sent: Jobs that were sent, by identifier.
+        sent: Jobs that were submitted, by identifier.
         refused: Identifiers of jobs of which every call was refused.
-        cancelled: Identifiers of jobs whose cancelling was acknowledged.
-        broken: What broke, as sentences.
-        busy: Nodes that a fault holds.
-        injected: How often each fault was injected.
-        shown: Final states that were shown, by job, with the loop time.
+        cancelled: Identifiers of jobs whose cancellation was acknowledged.
+        violations: Violations of the guarantees, as sentences.
+        busy: Names of processes to which a fault is being applied.
+        injected: Number of injections by fault.
+        shown_states: First final state that was shown and its loop time in
+            seconds, by job.
     """
 
-    def __init__(self, *, made, seed, faults=None):
-        self.made = made
+    def __init__(self, *, cell, seed, faults=None):
+        self.cell = cell
         self.faults = FAULTS if faults is None else faults
-        self.luck = random.Random(seed)
+        self.rng = random.Random(seed)
         self.accepted = {}
         self.sent = {}
-        made.log.on_start = self.check_start
+        cell.run_log.on_start = self.check_start_allowed
         self.refused = set()
         self.cancelled = set()
-        self.broken = []
+        self.violations = []
         self.busy = set()
         self.injected = collections.Counter()
-        self.shown = {}
-        self.counter = 0
+        self.shown_states = {}
+        self.submitted_count = 0
 
     async def run(self, seconds):
-        """Plays load and faults, heals, and checks the promises."""
-        for number in range(NODES):
-            await self.made.start(f"n{number}")
-        looking = asyncio.create_task(self.look())
-        asking = asyncio.create_task(self.ask())
+        """Runs load and faults, waits for healing, and checks guarantees.
+
+        Args:
+            seconds: Duration of load and faults.
+        """
+        for number in range(MEMBERS):
+            await self.cell.start(f"n{number}")
+        run_watcher = asyncio.create_task(self.watch_for_duplicate_runs())
+        state_poller = asyncio.create_task(self.poll_job_states())
         faults = asyncio.create_task(self.inject(seconds))
         loop = asyncio.get_running_loop()
         end_s = loop.time() + seconds
         calls = set()
         while loop.time() < end_s:
-            self.counter += 1
-            call = asyncio.create_task(self.submit(f"{self.counter:016x}"))
+            self.submitted_count += 1
+            call = asyncio.create_task(
+                self.submit(f"{self.submitted_count:016x}")
+            )
             calls.add(call)
-            await asyncio.sleep(SUBMIT_PAUSE_S)
+            await asyncio.sleep(SUBMIT_INTERVAL_S)
         await asyncio.gather(faults, *calls)
-        await self.check()
-        looking.cancel()
-        asking.cancel()
+        await self.check_after_healing()
+        run_watcher.cancel()
+        state_poller.cancel()
 
     async def inject(self, seconds):
-        """Injects faults, some of them at the same time."""
+        """Injects faults, which may overlap, and waits until all are healed.
+
+        Args:
+            seconds: Time during which new faults are injected.
+        """
         loop = asyncio.get_running_loop()
         end_s = loop.time() + seconds
         running = []
         while loop.time() < end_s:
-            name = self.luck.choice(sorted(self.faults))
+            name = self.rng.choice(sorted(self.faults))
             self.injected[name] += 1
             running.append(asyncio.create_task(self.faults[name](self)))
-            await asyncio.sleep(self.luck.uniform(*FAULT_PAUSE_S))
+            await asyncio.sleep(self.rng.uniform(*FAULT_INTERVAL_S))
         await asyncio.gather(*running)
 
-    def take_node(self):
-        """Takes a node that no fault holds, None if there is none."""
-        free = sorted(set(self.made.nodes) - self.busy)
+    def pick_member(self):
+        """Picks a process without a fault and marks it as busy.
+
+        Returns:
+            The name of the process, or None if all of them are busy.
+        """
+        free = sorted(set(self.cell.members) - self.busy)
         if not free:
             return None
-        name = self.luck.choice(free)
+        name = self.rng.choice(free)
         self.busy.add(name)
         return name
 
-    async def restart(self, number):
-        """Ends a node by a signal and starts it again."""
-        name = self.take_node()
+    async def restart(self, signal_number):
+        """Ends a process by a signal and starts it again within 1 s."""
+        name = self.pick_member()
         if name is None:
             return
-        await self.made.stop(name, number)
-        await asyncio.sleep(self.luck.uniform(0.0, 1.0))
-        await self.made.start(name)
+        await self.cell.stop(name, signal_number)
+        await asyncio.sleep(self.rng.uniform(0.0, 1.0))
+        await self.cell.start(name)
         self.busy.discard(name)
 
-    async def submit(self, job):
-        """Submits a job, again after doubtful or refused calls."""
-        made = load.make_job(self.luck, cancel_share=CANCEL_SHARE)
-        self.sent[job] = made
-        body = made.body()
-        doubtful = False
-        for _ in range(CALLS_A_JOB):
-            status = await self.call("POST", job, body)
+    async def submit(self, job_id):
+        """Submits a random job, and cancels it if it says so.
+
+        Refused and unconfirmed calls are repeated, at most
+        MAX_CALLS_PER_JOB times. The job counts as refused only if every call
+        was certainly refused.
+        """
+        job = load.generate_job(self.rng, cancel_share=CANCEL_SHARE)
+        self.sent[job_id] = job
+        body = job.body()
+        unconfirmed = False
+        for _ in range(MAX_CALLS_PER_JOB):
+            status = await self.call("POST", job_id, body)
             if status == 200:
-                self.accepted[job] = made
-                if made.cancels:
-                    await self.cancel(job)
+                self.accepted[job_id] = job
+                if job.cancels:
+                    await self.cancel(job_id)
                 return
-            doubtful = doubtful or status not in (429, 503, "unreached")
+            unconfirmed = unconfirmed or status not in (429, 503, "unreached")
             await asyncio.sleep(0.3)
-        if not doubtful:
-            self.refused.add(job)
-
-    async def cancel(self, job):
-        """Cancels a job until that is acknowledged."""
-        for _ in range(CALLS_A_JOB):
-            if await self.call("DELETE", job) in (200, 410):
-                self.cancelled.add(job)
+        if not unconfirmed:
+            self.refused.add(job_id)
+
+    async def cancel(self, job_id):
+        """Repeats the cancellation of a job until it is acknowledged."""
+        for _ in range(MAX_CALLS_PER_JOB):
+            if await self.call("DELETE", job_id) in (200, 410):
+                self.cancelled.add(job_id)
                 return
             await asyncio.sleep(0.3)
 
-    async def call(self, method, job, body=None):
-        """Makes a call at any node and returns its status."""
-        nodes = list(self.made.nodes.values())
-        if not nodes:
+    async def call(self, method, job_id, body=None):
+        """Calls a random process of the cell.
+
+        Returns:
+            The HTTP status; "unreached" if no connection was made, so the
+            call had no effect; "unconfirmed" if it may have had an effect.
+        """
+        members = list(self.cell.members.values())
+        if not members:
             return "unreached"
         try:
-            status, answer = await self.made.call(
-                self.luck.choice(nodes), method, job, body
+            status, answer = await self.cell.call(
+                self.rng.choice(members), method, job_id, body
             )
         except aiohttp.ClientConnectorError:
             return "unreached"
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError):
-            return "doubtful"
+            return "unconfirmed"
         if method == "GET":
-            self.note(job, answer.get("state"))
+            self.check_shown_state(job_id, answer.get("state"))
         return status
 
-    def note(self, job, state):
-        """Notes a state that was shown; a final one never changes."""
+    def check_shown_state(self, job_id, state):
+        """Checks that a job's state does not change after a final state."""
         if state is None:
             return
         now_s = asyncio.get_running_loop().time()
-        before, since_s = self.shown.get(job, (state, now_s))
+        before, since_s = self.shown_states.get(job_id, (state, now_s))
         if state != before:
-            # A scheduler behind a cut may still tell what it knew.
-            if state in FINAL or now_s - since_s > STALE_S:
-                self.broken.append(f"{job} was {before} and is {state}")
-        if state in FINAL:
-            self.shown.setdefault(job, (state, now_s))
-
-    async def ask(self):
-        """Asks for the states of accepted jobs again and again."""
+            # A scheduler that is cut off from the store may still show an
+            # old state until its term ends.
+            if state in FINAL_STATES or now_s - since_s > STALE_STATE_S:
+                self.violations.append(f"{job_id} was {before} and is {state}")
+        if state in FINAL_STATES:
+            self.shown_states.setdefault(job_id, (state, now_s))
+
+    async def poll_job_states(self):
+        """Periodically reads the state of one of the 20 newest jobs."""
         while True:
             if self.accepted:
                 newest = sorted(self.accepted)[-20:]
-                await self.call("GET", self.luck.choice(newest))
-            await asyncio.sleep(ASK_PERIOD_S)
+                await self.call("GET", self.rng.choice(newest))
+            await asyncio.sleep(STATE_POLL_INTERVAL_S)
 
-    async def look(self):
-        """Looks for tasks that run in two places at the same time."""
+    async def watch_for_duplicate_runs(self):
+        """Periodically checks that no task runs on two workers."""
         while True:
-            seen = {}
-            for worker in self.made.workers:
+            worker_of_task = {}
+            for worker in self.cell.workers:
                 for task in worker.running:
-                    other = seen.setdefault(task, worker.name)
+                    other = worker_of_task.setdefault(task, worker.name)
                     if other != worker.name:
-                        self.broken.append(
+                        self.violations.append(
                             f"{task} runs on {other} and {worker.name}"
                         )
-            await asyncio.sleep(LOOK_PERIOD_S)
+            await asyncio.sleep(RUN_CHECK_INTERVAL_S)
+
+    def check_start_allowed(self, task):
+        """Checks that a task may be started.
 
-    def check_start(self, task):
-        """Checks that a task may be started, by what has ended before."""
-        job, occurrence, number, _ = task.split(".")
-        step = self.sent[job].steps[int(number)]
+        The steps that it depends on must be done, and it must not have
+        reached the limit of acknowledged failures.
+        """
+        job_id, occurrence, number, _ = task.split(".")
+        step = self.sent[job_id].steps[int(number)]
         for earlier in step.after:
-            name = f"{job}.{occurrence}.{earlier}."
-            done = sum(task.startswith(name) for task in self.made.log.done)
-            if done < self.sent[job].steps[earlier].least_done:
-                self.broken.append(f"{task} was started before {name}")
-        if self.made.log.noted_failures[task] >= load.MAX_FAILURES:
-            self.broken.append(f"{task} was started after its last failure")
-
-    async def check(self):
-        """Checks what must hold once all faults are healed."""
-        node = next(iter(self.made.nodes.values()))
+            name = f"{job_id}.{occurrence}.{earlier}."
+            done = sum(
+                task.startswith(name) for task in self.cell.run_log.done
+            )
+            if done < self.sent[job_id].steps[earlier].min_done:
+                self.violations.append(f"{task} was started before {name}")
+        if self.cell.run_log.acknowledged_failures[task] >= load.MAX_FAILURES:
+            self.violations.append(
+                f"{task} was started after its last failure"
+            )
+
+    async def check_after_healing(self):
+        """Checks the guarantees that hold once all faults are healed."""
+        member = next(iter(self.cell.members.values()))
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + SETTLE_S
-        for job, made in self.accepted.items():
-            await self.check_state(node, job, made, end_s)
-        await asyncio.sleep(GONE_S)
-        for worker in self.made.workers:
-            self.broken += [f"overfilled: {x}" for x in worker.overfilled]
-            self.broken += [f"started after done: {x}" for x in worker.again]
+        end_s = loop.time() + RECOVERY_TIMEOUT_S
+        for job_id, job in self.accepted.items():
+            await self.wait_for_final_state(member, job_id, job, end_s)
+        await asyncio.sleep(LAST_RUNS_END_S)
+        for worker in self.cell.workers:
+            self.violations += [f"overfilled: {x}" for x in worker.overfilled]
+            self.violations += [
+                f"started after done: {x}" for x in worker.started_after_done
+            ]
             for task in worker.running:
-                self.broken.append(f"{task} still runs")
+                self.violations.append(f"{task} still runs")
             for task, _ in worker.starts:
                 if task.partition(".")[0] in self.refused:
-                    self.broken.append(f"{task} of a refused job ran")
+                    self.violations.append(f"{task} of a refused job ran")
+
+    async def wait_for_final_state(self, member, job_id, job, end_s):
+        """Waits for the final state of a job and checks its tasks.
 
-    async def check_state(self, node, job, made, end_s):
-        """Checks that a job comes to its end, and is done as shown."""
+        Args:
+            member: Process that is asked for the state.
+            job_id: Identifier of the job.
+            job: The job.
+            end_s: Loop time until which the job must reach a final state.
+        """
         loop = asyncio.get_running_loop()
         left_s = max(1.0, end_s - loop.time())
-        states = made.states
-        if job in self.cancelled:
+        states = job.possible_final_states
+        if job_id in self.cancelled:
             states = states | {"cancelled"}
         try:
             async with asyncio.timeout(left_s):
                 while True:
-                    _, body = await self.made.call(node, "GET", job)
-                    self.note(job, body.get("state"))
+                    _, body = await self.cell.call(member, "GET", job_id)
+                    self.check_shown_state(job_id, body.get("state"))
                     if body.get("state") in states:
                         break
                     await asyncio.sleep(0.1)
         except TimeoutError:
-            self.broken.append(f"{job} is {body}, not {states}")
+            self.violations.append(f"{job_id} is {body}, not {states}")
             return
-        count = sum(task.startswith(job) for task in self.made.log.done)
-        if body["state"] == "completed" and count < made.least_done:
-            self.broken.append(f"{job} is completed with {count} tasks done")
+        count = sum(task.startswith(job_id) for task in self.cell.run_log.done)
+        if body["state"] == "completed" and count < job.min_done:
+            self.violations.append(
+                f"{job_id} is completed with {count} tasks done"
+            )
 
 
-async def play(seed, seconds, keep=None):
-    """Plays one seed and returns what broke.
+async def run_seed(seed, seconds, keep=None):
+    """Runs the soak with one seed.
 
     Args:
-        seed: Seed.
-        seconds: Length of load and faults.
-        keep: Folder for the logs of a seed that broke, or None.
+        seed: Seed of all random choices.
+        seconds: Duration of load and faults.
+        keep: Path of the folder that receives the logs of the processes if a
+            guarantee is violated, or None.
+
+    Returns:
+        The violations, sorted.
     """
     advice = random.Random(seed).random() < 0.5
     async with cell.FleetCell(
         workers=WORKERS, work_ms=WORK_MS, with_advice=advice
-    ) as made:
-        soak = Soak(made=made, seed=seed)
+    ) as fleet_cell:
+        soak = Soak(cell=fleet_cell, seed=seed)
         await soak.run(seconds)
-        if soak.broken and keep:
+        if soak.violations and keep:
             shutil.copytree(
-                made.folder.name, f"{keep}/seed-{seed}", dirs_exist_ok=True
+                fleet_cell.folder.name,
+                f"{keep}/seed-{seed}",
+                dirs_exist_ok=True,
             )
         counts = f"{len(soak.accepted)} accepted, {len(soak.refused)} refused"
-        print(f"seed {seed}: {counts}, {len(soak.broken)} broken", flush=True)
-        return sorted(set(soak.broken))
+        print(
+            f"seed {seed}: {counts}, {len(soak.violations)} broken", flush=True
+        )
+        return sorted(set(soak.violations))
 
 
 def main():
-    """Plays seeds; the exit code tells whether a promise broke."""
+    """Runs seeds; exits with 1 if a guarantee was violated."""
     parser = argparse.ArgumentParser(prog="soak")
     parser.add_argument("--first", type=int, default=1, help="first seed")
-    parser.add_argument("--count", type=int, default=5, help="seeds")
+    parser.add_argument("--count", type=int, default=5, help="number of seeds")
     parser.add_argument("--seconds", type=float, default=15.0)
     parser.add_argument("--keep", default="out", help="folder for logs")
     arguments = parser.parse_args()
     failed = 0
     for seed in range(arguments.first, arguments.first + arguments.count):
-        broken = asyncio.run(play(seed, arguments.seconds, arguments.keep))
-        failed += bool(broken)
-        for sentence in broken[:20]:
-            print(f"  {sentence}", flush=True)
+        violations = asyncio.run(
+            run_seed(seed, arguments.seconds, arguments.keep)
+        )
+        failed += bool(violations)
+        for violation in violations[:20]:
+            print(f"  {violation}", flush=True)
     sys.exit(1 if failed else 0)
 
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/store.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/store.py
@@ -1,4 +1,7 @@
-"""Stand-in for the platform's store: topics, keyed topics and groups."""
+"""Stand-in for the platform's store: topics, keyed topics and groups.
+
+Keeps all records in memory.
+"""
 
 import asyncio
 import base64
@@ -10,22 +13,23 @@
 
 __all__ = ["FleetStore"]
 
-LENGTH = struct.Struct(">I")
-BOUNDS = struct.Struct(">QQ")
+RECORD_LENGTH = struct.Struct(">I")
+OFFSETS = struct.Struct(">QQ")
 PARTITIONS = 8
-PAGE = 500
+PAGE_SIZE = 500
 MILLISECONDS = 1000.0
-REMEMBERED_APPENDS = 5
+KEPT_ANSWERS = 5
 
 
 class Partition:
-    """One partition: records, its writers, and who waits for more.
+    """One partition of a topic.
 
     Attributes:
-        records: Records from offset ``first`` on.
+        records: Retained records; the first of them has offset ``first``.
         first: Offset of the first retained record.
-        newest: Offset and record of the newest value by key.
-        writers: Epoch, sequence and answers by writer.
+        newest: Offset and value of the newest record by key.
+        writers: Epoch, newest sequence number and recent answers by writer.
+        appended: Event set at the next append.
     """
 
     def __init__(self):
@@ -33,15 +37,18 @@
         self.first = 0
         self.newest = {}
         self.writers = {}
-        self.grown = asyncio.Event()
+        self.appended = asyncio.Event()
 
     @property
     def end(self):
-        """Offset behind the last record."""
+        """Offset that the next record gets."""
         return self.first + len(self.records)
 
     def add(self, record):
-        """Appends one record."""
+        """Appends a record: size of its key in one byte, key, value.
+
+        An empty value deletes the key.
+        """
         size = record[0] if record else 0
         key = record[1 : 1 + size].decode()
         value = record[1 + size :]
@@ -50,35 +57,40 @@
         else:
             self.newest.pop(key, None)
         self.records.append(record)
-        self.grown.set()
-        self.grown = asyncio.Event()
+        self.appended.set()
+        self.appended = asyncio.Event()
 
 
 class FleetStore:
-    """The store; faults are set from outside.
+    """The store, with faults that tests set as attributes.
+
+    Args:
+        append_delay_s: Duration of each append.
 
     Attributes:
-        refuse: Whether calls are answered with 503.
+        refusing: Whether all calls are answered with 503.
         silent: Whether calls get no answer and have no effect.
-        lose: Number of appends whose answer is lost, after taking effect.
-        refused_hosts: Addresses of callers that are turned away.
+        lost_answers_left: Number of coming appends that take effect but
+            whose answer is lost.
+        refused_hosts: Addresses of callers whose calls are answered with 503.
+        appends: Number of append calls so far.
     """
 
-    def __init__(self, *, append_s=0.002):
-        self.append_s = append_s
+    def __init__(self, *, append_delay_s=0.002):
+        self.append_delay_s = append_delay_s
         self.partitions = {}
         self.groups = {}
         self.generation = 0
-        self.refuse = False
+        self.refusing = False
         self.silent = False
-        self.lose = 0
+        self.lost_answers_left = 0
         self.refused_hosts = set()
         self.appends = 0
 
     def app(self):
         """Returns the application that serves the store."""
         app = web.Application(
-            middlewares=[self.faults], client_max_size=4 << 20
+            middlewares=[self.apply_faults], client_max_size=4 << 20
         )
         app.router.add_post("/api/log-append", self.append)
         app.router.add_get("/api/log-read", self.read)
@@ -88,30 +100,34 @@
         return app
 
     @web.middleware
-    async def faults(self, request, handler):
-        """Applies the faults that are set."""
+    async def apply_faults(self, request, handler):
+        """Leaves calls unanswered or refuses them, as the faults say."""
         if self.silent:
             await asyncio.sleep(3600)
-        if self.refuse or request.remote in self.refused_hosts:
+        if self.refusing or request.remote in self.refused_hosts:
             return web.Response(status=503)
         return await handler(request)
 
     def partition(self, topic, number):
-        """Returns a partition, created on first use."""
+        """Returns a partition, which is created on first use."""
         return self.partitions.setdefault((topic, int(number)), Partition())
 
     def put(self, topic, key, value, part=0):
-        """Writes a value as the operator or a worker would."""
+        """Appends the value of a key without a call, as other writers do."""
         name = key.encode()
         record = bytes((len(name),)) + name + value
         self.partition(topic, part).add(record)
 
     async def append(self, request):
-        """Appends records, all or none."""
+        """Appends all records of a call, or none of them.
+
+        A call with ``at`` is refused with 412 unless the partition ends at
+        that offset.
+        """
         query = request.query
         part = self.partition(query["topic"], query["part"])
         body = await request.read()
-        await asyncio.sleep(self.append_s)
+        await asyncio.sleep(self.append_delay_s)
         self.appends += 1
         if "at" in query and int(query["at"]) != part.end:
             return web.json_response({"end": part.end}, status=412)
@@ -123,45 +139,54 @@
             for record in split(body):
                 part.add(record)
             answer = {"offset": offset, "end": part.end}
-            self.note_writer(part, query, answer)
-        if self.lose > 0:
-            self.lose -= 1
+            self.record_append(part, query, answer)
+        if self.lost_answers_left > 0:
+            self.lost_answers_left -= 1
             request.transport.abort()
         return web.json_response(answer)
 
     def check_writer(self, part, query):
-        """Returns a refusal, the answer of a repeat, or None to go on."""
+        """Checks the epoch and sequence number of an append.
+
+        Returns:
+            The response that refuses the append, the earlier answer if the
+            append is a repetition, or None if it may be applied.
+        """
         if "producer" not in query:
             return None
         epoch, sequence = int(query["epoch"]), int(query["sequence"])
-        known = part.writers.get(query["producer"])
-        if known is None or epoch > known["epoch"]:
+        writer = part.writers.get(query["producer"])
+        if writer is None or epoch > writer["epoch"]:
             return None
-        if epoch < known["epoch"]:
+        if epoch < writer["epoch"]:
             return web.json_response({"reason": "fenced"}, status=409)
-        if sequence in known["answers"]:
-            return known["answers"][sequence]
-        if sequence != known["sequence"] + 1:
-            body = {"reason": "seq", "sequence": known["sequence"] + 1}
+        if sequence in writer["answers"]:
+            return writer["answers"][sequence]
+        if sequence != writer["sequence"] + 1:
+            body = {"reason": "seq", "sequence": writer["sequence"] + 1}
             return web.json_response(body, status=409)
         return None
 
-    def note_writer(self, part, query, answer):
-        """Remembers an append of a writer."""
+    def record_append(self, part, query, answer):
+        """Records the sequence number and answer of a writer's append."""
         if "producer" not in query:
             return
         epoch, sequence = int(query["epoch"]), int(query["sequence"])
-        known = part.writers.get(query["producer"])
-        if known is None or epoch > known["epoch"]:
-            known = {"epoch": epoch, "answers": {}}
-            part.writers[query["producer"]] = known
-        known["sequence"] = sequence
-        known["answers"][sequence] = answer
-        for old in sorted(known["answers"])[:-REMEMBERED_APPENDS]:
-            del known["answers"][old]
+        writer = part.writers.get(query["producer"])
+        if writer is None or epoch > writer["epoch"]:
+            writer = {"epoch": epoch, "answers": {}}
+            part.writers[query["producer"]] = writer
+        writer["sequence"] = sequence
+        writer["answers"][sequence] = answer
+        for old in sorted(writer["answers"])[:-KEPT_ANSWERS]:
+            del writer["answers"][old]
 
     async def read(self, request):
-        """Reads from an offset on, and waits for a record if asked to."""
+        """Returns all records from an offset on.
+
+        Waits for the next record, up to ``waitMs``, if there is none yet.
+        Offsets that are no longer retained are refused with 410.
+        """
         query = request.query
         part = self.partition(query["topic"], query["part"])
         start = int(query["from"])
@@ -171,17 +196,20 @@
         if wait_s and start >= part.end:
             try:
                 async with asyncio.timeout(wait_s):
-                    await part.grown.wait()
+                    await part.appended.wait()
             except TimeoutError:
                 pass
-        found = part.records[start - part.first :]
-        body = BOUNDS.pack(part.end, part.first) + b"".join(
-            LENGTH.pack(len(record)) + record for record in found
+        records = part.records[start - part.first :]
+        body = OFFSETS.pack(part.end, part.first) + b"".join(
+            RECORD_LENGTH.pack(len(record)) + record for record in records
         )
         return web.Response(body=body)
 
     async def newest(self, request):
-        """Returns the newest record of each key, a page at a time."""
+        """Returns a page of the newest records by key, in order of keys.
+
+        ``dependsOn`` is the key after which the page starts.
+        """
         query = request.query
         part = self.partition(query["topic"], query["part"])
         after = query.get("dependsOn", "")
@@ -192,24 +220,30 @@
                 "value": base64.b64encode(part.newest[key][1]).decode(),
                 "offset": part.newest[key][0],
             }
-            for key in keys[:PAGE]
+            for key in keys[:PAGE_SIZE]
         ]
         return web.json_response(
             {
                 "items": items,
-                "hasMore": len(keys) > PAGE,
+                "hasMore": len(keys) > PAGE_SIZE,
                 "end": part.end,
             }
         )
 
-    def forget_history(self, topic, part=0):
-        """Deletes the records of a partition but the newest of each key."""
-        found = self.partition(topic, part)
-        found.first = found.end
-        found.records = []
+    def compact(self, topic, part=0):
+        """Deletes the history of a partition.
+
+        The newest record of each key can still be read page by page.
+        """
+        partition = self.partition(topic, part)
+        partition.first = partition.end
+        partition.records = []
 
     async def join(self, request):
-        """Joins a group; partition 0 goes to the oldest member."""
+        """Joins a group, or renews the membership.
+
+        All partitions are assigned to the oldest member.
+        """
         message = await request.json()
         now_s = clock.monotonic_ms() / MILLISECONDS
         group = self.groups.setdefault(message["group"], {})
@@ -244,10 +278,10 @@
 
 
 def split(body):
-    """Yields the records of an append."""
+    """Yields the records in the body of an append call."""
     at = 0
     while at < len(body):
-        (length,) = LENGTH.unpack_from(body, at)
-        at += LENGTH.size
+        (length,) = RECORD_LENGTH.unpack_from(body, at)
+        at += RECORD_LENGTH.size
         yield body[at : at + length]
         at += length
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/worker.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/worker.py
@@ -1,4 +1,4 @@
-"""Stand-in for a worker: runs tasks under leases, and lists their ends."""
+"""Stand-in for a worker: runs tasks under a lease and reports their ends."""
 
 import asyncio
 import json
@@ -11,31 +11,38 @@
 __all__ = ["FleetWorker"]
 
 MILLISECONDS = 1000.0
-LONGEST_HOLD_MS = 6000.0
-PERIOD_S = 0.01
+LONGEST_LEASE_MS = 6000.0
+CHECK_INTERVAL_S = 0.01
 DEFAULT_CORES_MILLI = 1000
 
 
-class TaskOnWorker:
-    """One run: when it began, and how long its work takes."""
+class RunAttempt:
+    """One run attempt of a task on the worker.
+
+    Args:
+        task: Name of the task.
+        attempt: Number of the attempt.
+        payload: Payload of the task, which names its cores and failures.
+        work_ms: Duration of the task.
+    """
 
     def __init__(self, *, task, attempt, payload, work_ms):
         self.task = task
         self.attempt = attempt
-        self.need = cores_of(payload)
-        self.fails = failures_of(payload)
+        self.cores_milli = cores_milli_of(payload)
+        self.failures = failures_of(payload)
         self.work_ms = work_ms
-        self.begun_ms = clock.monotonic_ms()
+        self.started_ms = clock.monotonic_ms()
 
     @property
     def percent(self):
-        """Progress from 0 to 100."""
-        ran_ms = clock.monotonic_ms() - self.begun_ms
+        """Progress in percent."""
+        ran_ms = clock.monotonic_ms() - self.started_ms
         return min(100, int(100 * ran_ms / self.work_ms))
 
 
 class FleetWorker:
-    """A worker that obeys fences, leases, stops and acknowledgements.
+    """A worker that honours fences, leases, stops and acknowledgements.
 
     Args:
         name: Name of the worker.
@@ -45,15 +52,18 @@
         work_ms: Duration of every task.
 
     Attributes:
-        starts: Every start that was carried out, as task and attempt.
-        done: Tasks whose runs have ended as done.
-        log: What has become of the runs of all workers.
-        again: Starts of tasks that were noted before.
-        overfilled: Starts that brought it over its capacity.
+        starts: All starts that were applied, as pairs of task and attempt.
+        done: Tasks with a run attempt that ended as done, one entry per end.
+        run_log: Record of the run attempts of all workers.
+        started_after_done: Starts of tasks whose end as done had already
+            been acknowledged, as pairs of task and attempt.
+        overfilled: Starts that exceeded the capacity, as pairs of task and
+            attempt.
         silent: Whether it leaves calls unanswered.
-        late_s: If set, the next start is carried out that much later and
-            never answered.
-        stop_s: Time that a task goes on after its stop was answered.
+        late_start_delay_s: If not None, the next start command is applied
+            after this delay and never answered.
+        stop_delay_s: Time that a task keeps running after its stop command
+            was answered.
     """
 
     def __init__(self, *, name, store, pool, cores_milli=16000, work_ms=100.0):
@@ -65,44 +75,50 @@
         self.address = ""
         self.starts = []
         self.done = []
-        self.log = run_log.RunLog()
-        self.again = []
+        self.run_log = run_log.RunLog()
+        self.started_after_done = []
         self.overfilled = []
         self.silent = False
-        self.late_s = None
-        self.stop_s = 0.0
+        self.late_start_delay_s = None
+        self.stop_delay_s = 0.0
         self.state = "ready"
         self.sequence = 0
-        self.reset()
+        self.restart()
 
-    def reset(self):
-        """Begins a new life that knows nothing of the last one."""
+    def restart(self):
+        """Starts a new incarnation without the state of the previous one."""
         self.born_ms = int(clock.wall_ms())
-        self.began_ms = clock.monotonic_ms()
+        self.started_ms = clock.monotonic_ms()
         self.fence = 0
         self.running = {}
         self.finished = []
-        self.ends = 0
-        self.stopped = {}
-        self.until_ms = 0
-        self.ended = asyncio.Event()
+        self.end_count = 0
+        self.stopped_attempts = {}
+        self.lease_until_ms = 0
+        self.run_ended = asyncio.Event()
 
     @property
     def clock_ms(self):
-        """The worker's own clock."""
-        return int(clock.monotonic_ms() - self.began_ms) + 1000
+        """Time since the start of this incarnation, plus 1000 ms.
+
+        Deadlines in commands refer to this clock.
+        """
+        return int(clock.monotonic_ms() - self.started_ms) + 1000
 
     def app(self):
         """Returns the application that serves the worker."""
-        app = web.Application(middlewares=[self.faults])
+        app = web.Application(middlewares=[self.apply_faults])
         app.router.add_post("/api/run-start", self.start)
         app.router.add_post("/api/run-stop", self.stop)
         app.router.add_post("/api/hold", self.hold)
         return app
 
     @web.middleware
-    async def faults(self, request, handler):
-        """Leaves calls unanswered while the worker is silent."""
+    async def apply_faults(self, request, handler):
+        """Leaves calls unanswered while the worker is silent.
+
+        Calls that are addressed to another worker are refused with 421.
+        """
         if self.silent:
             await asyncio.sleep(3600)
         expected = request.headers.get("Cicadafold-Expect-Instance")
@@ -111,7 +127,7 @@
         return await handler(request)
 
     def register(self):
-        """Writes the worker's entry into the registry."""
+        """Writes the worker's entry to the registry in the store."""
         self.sequence += 1
         entry = {
             "service": self.pool,
@@ -131,81 +147,89 @@
         self.store.put("keyed.servers", self.name, json.dumps(entry).encode())
 
     async def run(self):
-        """Ends tasks whose work is done or whose lease is over."""
+        """Ends run attempts that are complete or whose lease has lapsed."""
         while True:
-            await asyncio.sleep(PERIOD_S)
-            lapsed = self.running and self.clock_ms > self.until_ms
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            lapsed = self.running and self.clock_ms > self.lease_until_ms
             for run in list(self.running.values()):
                 if lapsed:
-                    self.end(run, "lapsed")
+                    self.end_run(run, "lapsed")
                 elif run.percent >= 100:
-                    fails = self.log.failures[run.task] < run.fails
-                    self.end(run, "failed" if fails else "done")
+                    must_fail = self.run_log.failures[run.task] < run.failures
+                    self.end_run(run, "failed" if must_fail else "done")
 
-    def end(self, run, how):
-        """Lists the end of a run."""
+    def end_run(self, run, outcome):
+        """Ends a run attempt and adds its end to the unacknowledged ends."""
         del self.running[run.task]
-        self.ends += 1
-        row = [self.ends, run.task, run.attempt, how, ""]
+        self.end_count += 1
+        row = [self.end_count, run.task, run.attempt, outcome, ""]
         self.finished.append(row)
-        if how == "done":
+        if outcome == "done":
             self.done.append(run.task)
-        self.log.end(run.task, how)
-        self.ended.set()
-        self.ended = asyncio.Event()
+        self.run_log.record_end(run.task, outcome)
+        self.run_ended.set()
+        self.run_ended = asyncio.Event()
 
-    def end_stopped(self, run):
-        """Ends a stopped run, if it has not ended meanwhile."""
+    def end_stopped_run(self, run):
+        """Ends a stopped run attempt unless it has ended already."""
         if self.running.get(run.task) is run:
-            self.end(run, "stopped")
+            self.end_run(run, "stopped")
 
-    def answer(self, status=200, **fields):
-        """Returns an answer with the worker's clock."""
+    def respond(self, status=200, **fields):
+        """Returns a response with the worker's clock and start time."""
         body = {"clockMs": self.clock_ms, "born": self.born_ms, **fields}
         return web.json_response(body, status=status)
 
     def extend(self, deadline_ms):
-        """Extends the lease, up to the longest one."""
+        """Extends the lease to a deadline, by at most LONGEST_LEASE_MS."""
         if deadline_ms is not None:
-            bound = self.clock_ms + LONGEST_HOLD_MS
-            self.until_ms = max(self.until_ms, min(deadline_ms, bound))
+            latest_ms = self.clock_ms + LONGEST_LEASE_MS
+            self.lease_until_ms = max(
+                self.lease_until_ms, min(deadline_ms, latest_ms)
+            )
 
     async def start(self, request):
-        """Starts a run, or says why not."""
+        """Handles a start command; a refusal is 409 with its reason."""
         message = await request.json()
-        if self.late_s is not None:
-            delay_s, self.late_s = self.late_s, None
+        if self.late_start_delay_s is not None:
+            delay_s, self.late_start_delay_s = self.late_start_delay_s, None
             await asyncio.sleep(delay_s)
-            self.carry_out(message)
+            self.apply_start(message)
             await asyncio.sleep(3600)
-        reason = self.carry_out(message)
+        reason = self.apply_start(message)
         if reason:
-            return self.answer(409, reason=reason)
-        return self.answer()
+            return self.respond(409, reason=reason)
+        return self.respond()
+
+    def apply_start(self, message):
+        """Starts a run attempt unless the start command must be refused.
 
-    def carry_out(self, message):
-        """Carries out a start and returns why it did not, or None."""
+        Returns:
+            The reason for the refusal, or None.
+        """
         task, attempt = message["task"], message["attempt"]
         if message["fence"] < self.fence:
             return "fence"
         self.fence = message["fence"]
         if message["deadlineMs"] <= self.clock_ms:
             return "late"
-        known = self.running.get(task)
-        if known is not None and known.attempt == attempt:
+        running = self.running.get(task)
+        if running is not None and running.attempt == attempt:
             return None
-        if known is not None or attempt <= self.stopped.get(task, 0):
+        if running is not None or attempt <= self.stopped_attempts.get(
+            task, 0
+        ):
             return "old"
         self.extend(message["deadlineMs"])
-        need = cores_of(message["spec"])
-        used = sum(run.need for run in self.running.values())
-        if used + need > self.cores_milli:
+        cores_milli = cores_milli_of(message["spec"])
+        used = sum(run.cores_milli for run in self.running.values())
+        if used + cores_milli > self.cores_milli:
             self.overfilled.append((task, attempt))
-        if task in self.log.noted:
-            self.again.append((task, attempt))
-        self.log.start(task)
+        if task in self.run_log.acknowledged:
+            self.started_after_done.append((task, attempt))
+        self.run_log.record_start(task)
         self.starts.append((task, attempt))
-        self.running[task] = TaskOnWorker(
+        self.running[task] = RunAttempt(
             task=task,
             attempt=attempt,
             payload=message["spec"],
@@ -214,52 +238,66 @@
         return None
 
     async def stop(self, request):
-        """Stops a run; one that is not there yet will be rejected."""
+        """Handles a stop command.
+
+        Start commands that arrive later for this attempt, or for an earlier
+        one, are refused.
+        """
         message = await request.json()
         if message["fence"] < self.fence:
-            return self.answer(409, reason="fence")
+            return self.respond(409, reason="fence")
         task, attempt = message["task"], message["attempt"]
-        self.stopped[task] = max(self.stopped.get(task, 0), attempt)
+        self.stopped_attempts[task] = max(
+            self.stopped_attempts.get(task, 0), attempt
+        )
         run = self.running.get(task)
         if run is not None and run.attempt <= attempt:
             loop = asyncio.get_running_loop()
-            loop.call_later(self.stop_s, self.end_stopped, run)
-        return self.answer()
+            loop.call_later(self.stop_delay_s, self.end_stopped_run, run)
+        return self.respond()
 
     async def hold(self, request):
-        """Extends the lease and returns both lists."""
+        """Handles a renewal of the lease.
+
+        Drops the ends that the scheduler has acknowledged. Returns the
+        running attempts and the unacknowledged ends; if there are none of
+        the latter, waits for an end up to the time in the request.
+        """
         message = await request.json()
         if message["fence"] < self.fence:
-            return self.answer(409, reason="fence")
+            return self.respond(409, reason="fence")
         self.fence = message["fence"]
         self.extend(message.get("deadlineMs"))
         acknowledged = message["ackedThrough"]
-        for number, task, _, how, _ in self.finished:
+        for number, task, _, outcome, _ in self.finished:
             if number <= acknowledged:
-                self.log.note(task, how)
-        self.finished = [x for x in self.finished if x[0] > acknowledged]
+                self.run_log.record_acknowledgement(task, outcome)
+        self.finished = [row for row in self.finished if row[0] > acknowledged]
         wait_s = message.get("waitMs", 0) / MILLISECONDS
         if wait_s and not self.finished:
             try:
                 async with asyncio.timeout(wait_s):
-                    await self.ended.wait()
+                    await self.run_ended.wait()
             except TimeoutError:
                 pass
-        rows = [
+        running = [
             [run.task, run.attempt, "", run.percent, 0]
             for run in self.running.values()
         ]
-        return self.answer(running=rows, finished=self.finished[:500])
+        return self.respond(running=running, finished=self.finished[:500])
 
 
-def cores_of(payload):
-    """Returns the cores that a test's payload names, or one core."""
+def cores_milli_of(payload):
+    """Returns the cores named in a payload, in thousandths.
+
+    Payloads that name none count as one core.
+    """
     cores = payload.partition(" ")[0]
     return int(cores) if cores.isdigit() else DEFAULT_CORES_MILLI
 
 
 def failures_of(payload):
-    """Returns how often a task fails, as its payload says.
+    """Returns how many run attempts of a task fail before one is done.
 
     Examples:
         >>> failures_of("2000 fails 1")
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/__init__.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/__init__.py
@@ -1,1 +1,5 @@
-"""A whole cell in one process, in virtual time, with faults of its network."""
+"""Deterministic simulation of a whole cell in virtual time.
+
+All processes of the cell run on one event loop, over a simulated network
+with faults.
+"""
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/applications.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/applications.py
@@ -1,4 +1,4 @@
-"""Lets applications answer the calls of a simulated network."""
+"""Serves aiohttp applications to the calls of a simulated network."""
 
 import asyncio
 import functools
@@ -9,23 +9,37 @@
 from aiohttp import web
 import multidict
 
-__all__ = ["Server", "settle"]
+__all__ = ["Server", "resolve_call"]
 
 MAX_BODY_BYTES = 4 << 20
 
 
-def settle(found, *, answer=None, error=None):
-    """Gives a call its answer or its failure."""
-    if found.done():
+def resolve_call(future, *, answer=None, error=None):
+    """Resolves a call with its answer or error, unless it is resolved.
+
+    Args:
+        future: Future that the caller awaits.
+        answer: Response, or None if the connection was closed without one.
+        error: Exception for the caller, or None.
+    """
+    if future.done():
         return
     if error is not None:
-        found.set_exception(error)
+        future.set_exception(error)
     else:
-        found.set_result(answer)
+        future.set_result(answer)
 
 
 class Server:
-    """One address: an application, and the process that runs it."""
+    """Application at one address.
+
+    Args:
+        app: The application.
+        host: Host that runs it, or None for a stand-in.
+
+    Attributes:
+        calls: Futures of the calls in progress, in order of their arrival.
+    """
 
     def __init__(self, *, app, host):
         self.app = app
@@ -33,44 +47,46 @@
         self.calls = {}
 
     async def answer(self, call):
-        """Returns the answer to a call, None if it breaks off."""
+        """Returns the answer to a call, None if the connection is closed."""
         transport = Transport(call.source)
-        work = serve(self.app, call, transport)
+        coroutine = serve(self.app, call, transport)
         if self.host is None:
-            return await broken_off(work, transport)
-        task = self.host.spawn(broken_off(work, transport))
-        found = asyncio.get_running_loop().create_future()
-        self.calls[found] = None
+            return await answer_unless_aborted(coroutine, transport)
+        task = self.host.spawn(answer_unless_aborted(coroutine, transport))
+        future = asyncio.get_running_loop().create_future()
+        self.calls[future] = None
         task.add_done_callback(
-            lambda done: settle(found, answer=result_of(done))
+            lambda finished: resolve_call(
+                future, answer=result_or_none(finished)
+            )
         )
         try:
-            return await found
+            return await future
         finally:
-            del self.calls[found]
+            del self.calls[future]
 
     def close(self):
-        """Breaks off the calls in hand."""
-        for found in self.calls:
-            settle(found)
+        """Closes the connections of the calls in progress."""
+        for future in self.calls:
+            resolve_call(future)
 
 
-def result_of(task):
-    """Returns what a call's task has made, None if it was cancelled."""
+def result_or_none(task):
+    """Returns the result of a task, None if it was cancelled."""
     return None if task.cancelled() else task.result()
 
 
-async def broken_off(work, transport):
-    """Returns an answer, None if its server has cut the connection."""
-    answer = await work
+async def answer_unless_aborted(coroutine, transport):
+    """Returns an answer, None if the server aborted the connection."""
+    answer = await coroutine
     return None if transport.aborted else answer
 
 
 class Request(web.Request):
-    """A request that has arrived whole.
+    """A request whose body has been received completely.
 
     Attributes:
-        body: Its body.
+        body: The body as bytes.
     """
 
     async def read(self):
@@ -79,7 +95,13 @@
 
 
 async def serve(app, call, transport):
-    """Lets an application answer a call."""
+    """Returns the response of an application to a call.
+
+    Args:
+        app: Application, whose middlewares are applied.
+        call: Call of a simulated process.
+        transport: Connection, as the application sees it.
+    """
     loop = asyncio.get_running_loop()
     protocol = types.SimpleNamespace(
         transport=transport,
@@ -127,16 +149,23 @@
 
 
 class Transport:
-    """What an application sees of the connection."""
+    """Connection of a call, as an application sees it.
+
+    Args:
+        source: Host of the caller.
+
+    Attributes:
+        aborted: Whether the application has aborted the connection.
+    """
 
     def __init__(self, source):
         self.source = source
         self.aborted = False
 
     def abort(self):
-        """Cuts the connection."""
+        """Closes the connection without an answer."""
         self.aborted = True
 
     def get_extra_info(self, name, default=None):
-        """Tells the caller's address."""
+        """Returns the caller's address as ``peername``."""
         return (self.source, 0) if name == "peername" else default
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/cell.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/cell.py
@@ -1,4 +1,4 @@
-"""A cell of simulated processes, used as the one of real processes is."""
+"""Cell of simulated processes, with the interface of ``FleetCell``."""
 
 import asyncio
 import signal
@@ -16,25 +16,30 @@
 __all__ = ["SimulatedCell"]
 
 GRACE_S = 2.0
-START_LIMIT_S = 20.0
+START_TIMEOUT_S = 20.0
 LONGEST_LEASE_MS = 6000.0
 STATUS_S = 120.0
 MEMBER_TTL_MS = 1000
-# One host is too weak to carry a scheduler well.
+# One host has too few cores to run the scheduler well.
 CORES = {"n2": 0.4}
-STRONG_CORES = 2.0
-STORE = "10.1.0.1:80"
-ADVICE = "10.1.0.2:80"
-CALLERS = "10.1.0.3"
+DEFAULT_CORES = 2.0
+STORE_ADDRESS = "10.1.0.1:80"
+ADVICE_ADDRESS = "10.1.0.2:80"
+CALLER_HOST = "10.1.0.3"
 
 
 class SimulatedProcess:
-    """One process of the cell, which takes signals.
+    """Simulated process of the cell, controlled by signals.
+
+    Args:
+        name: Name of the member.
+        address: Host name in the simulated network.
+        network: The simulated network.
 
     Attributes:
-        host: Where its parts run.
-        node: Its parts.
-        returncode: None while it lives.
+        host: Simulated host that runs it.
+        node: The product's parts of the process, None until they are made.
+        returncode: Exit code, None until the process is killed.
     """
 
     def __init__(self, *, name, address, network):
@@ -45,14 +50,14 @@
         self.returncode = None
 
     async def run(self, settings):
-        """Serves until it is killed."""
+        """Runs the parts of the process until it is killed."""
         self.node = node = cell_node.CellNode(
             settings=settings,
             make_session=lambda limit: network_module.Session(
                 self.network, self.address
             ),
         )
-        calls = job_server.JobRequestHandler(
+        request_handler = job_server.JobRequestHandler(
             service=node.job_service,
             routes=node.routes,
             closing=lambda: not node.ready(),
@@ -61,7 +66,7 @@
         peers = web.Application()
         node.peer_directory.add_routes(peers.router)
         listen = self.network.listen
-        app = job_server.make_caller_app(calls)
+        app = job_server.make_caller_app(request_handler)
         listen(settings.caller_address, app, self.host)
         listen(settings.peer_address, peers, self.host)
         self.network.listen_sockets(
@@ -69,19 +74,23 @@
         )
         await node.supervisor().run()
 
-    def send_signal(self, number):
-        """Freezes, thaws or kills the process, or asks it to stop."""
-        if number == signal.SIGSTOP:
+    def send_signal(self, signal_number):
+        """Freezes, thaws, drains or kills the process.
+
+        Args:
+            signal_number: SIGSTOP, SIGCONT, SIGTERM or SIGKILL.
+        """
+        if signal_number == signal.SIGSTOP:
             self.host.freeze()
-        elif number == signal.SIGCONT:
+        elif signal_number == signal.SIGCONT:
             self.host.thaw()
-        elif number == signal.SIGTERM:
+        elif signal_number == signal.SIGTERM:
             self.host.spawn(self.node.drain(self.close_callers))
         else:
             self.kill()
 
     async def close_callers(self):
-        """Leaves calls in hand to their end."""
+        """Does nothing: calls in progress are left to end."""
 
     def kill(self):
         """Ends the process at once."""
@@ -91,40 +100,42 @@
 
 
 class SimulatedCell(cell.FleetCell):
-    """Stand-ins and nodes in one process, in virtual time.
+    """Stand-ins and simulated processes on one event loop in virtual time.
 
     Args:
-        luck: Source of random choices.
+        rng: Random number generator of the network.
         workers: Number of workers.
         work_ms: Duration of every task.
-        with_advice: Whether queues need advice.
+        with_advice: Whether the queue requires placement advice.
 
     Attributes:
-        network: Network between all parts.
-        processes: Every process that was ever started.
+        network: Simulated network between processes, stand-ins and callers.
+        processes: All processes that were started, also those that ended.
     """
 
-    def __init__(self, *, luck, workers, work_ms, with_advice=False):
+    def __init__(self, *, rng, workers, work_ms, with_advice=False):
         super().__init__(
             workers=workers, work_ms=work_ms, with_advice=with_advice
         )
-        self.luck = luck
-        self.network = network_module.Network(luck=luck)
+        self.rng = rng
+        self.network = network_module.Network(rng=rng)
         self.processes = []
 
     async def __aenter__(self):
-        self.session = network_module.Session(self.network, CALLERS)
-        self.store_address = STORE
-        self.advice_address = ADVICE
-        self.network.listen(STORE, self.store.app())
-        self.network.listen(ADVICE, self.advice.app())
+        self.session = network_module.Session(self.network, CALLER_HOST)
+        self.store_address = STORE_ADDRESS
+        self.advice_address = ADVICE_ADDRESS
+        self.network.listen(STORE_ADDRESS, self.store.app())
+        self.network.listen(ADVICE_ADDRESS, self.advice.app())
         for number, each in enumerate(self.workers):
             each.address = f"10.2.0.{number + 1}:80"
             self.network.listen(each.address, each.app())
-            self.network.lives[each.address] = lambda at=each: at.born_ms
+            self.network.incarnations[each.address] = lambda at=each: (
+                at.born_ms
+            )
             self.tasks.append(asyncio.create_task(each.run()))
-        self.tasks.append(asyncio.create_task(self.beat()))
-        self.configure(1)
+        self.tasks.append(asyncio.create_task(self.register_workers()))
+        self.publish_configuration(1)
         return self
 
     async def __aexit__(self, *_):
@@ -135,7 +146,7 @@
         self.folder.cleanup()
 
     async def start(self, name):
-        """Starts a node and waits until it is ready."""
+        """Starts a simulated process and waits until it is ready."""
         host = f"10.0.0.{name.strip('n')}"
         process = SimulatedProcess(
             name=name, address=host, network=self.network
@@ -156,23 +167,26 @@
             status_s=STATUS_S,
             member_ttl_ms=MEMBER_TTL_MS,
             grace_s=GRACE_S,
-            cores=CORES.get(name, STRONG_CORES),
+            cores=CORES.get(name, DEFAULT_CORES),
             link_mbps=1000.0,
         )
         process.host.spawn(process.run(settings))
-        self.nodes[name] = types.SimpleNamespace(
-            name=name, front=settings.caller_address, process=process
+        self.members[name] = types.SimpleNamespace(
+            name=name, caller_address=settings.caller_address, process=process
         )
-        async with asyncio.timeout(START_LIMIT_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while process.node is None or not process.node.ready():
                 await asyncio.sleep(0.05)
-        return self.nodes[name]
+        return self.members[name]
+
+    async def stop(self, name, signal_number=signal.SIGTERM):
+        """Ends a simulated process.
 
-    async def stop(self, name, number=signal.SIGTERM):
-        """Ends a node, after its time to drain if it is asked to stop."""
-        found = self.nodes.pop(name)
-        if number == signal.SIGTERM:
-            found.process.send_signal(number)
+        After SIGTERM it gets GRACE_S to drain before it is killed.
+        """
+        member = self.members.pop(name)
+        if signal_number == signal.SIGTERM:
+            member.process.send_signal(signal_number)
             await asyncio.sleep(GRACE_S)
-        found.process.kill()
-        return found
+        member.process.kill()
+        return member
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/explore.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/explore.py
@@ -1,9 +1,9 @@
-"""Explores schedules of the product's own code in virtual time.
+"""Explores schedules of the product's code in virtual time.
 
-Every process of a small cell runs as it is, over a network that delays,
-loses and cuts. Load, faults and checks are those of the soak, and faults of
-the network are added. A seed gives the same schedule again if Python hashes
-strings alike (``PYTHONHASHSEED=0``).
+The processes of a small cell run the product's own code over a simulated
+network that delays and drops messages. Load, checks and most faults are
+those of the soak; faults of the network are added. A seed reproduces the
+same schedule if Python's string hashes are fixed (``PYTHONHASHSEED=0``).
 """
 
 import argparse
@@ -26,12 +26,12 @@
 WORK_MS = 250.0
 LONGEST_CUT_S = 6.0
 LONGEST_LOSS_S = 3.0
-LONGEST_SLOW_S = 4.0
-SLOW_APPEND_S = (0.05, 0.8)
-LOSE_SHARE = 0.3
-LATE_SHARE = 0.2
+LONGEST_SLOW_STORE_S = 4.0
+SLOW_APPEND_DELAY_S = (0.05, 0.8)
+ANSWER_LOSS_SHARE = 0.3
+LATE_CALL_SHARE = 0.2
 
-# The network carries out calls late here, not the workers.
+# Here the network delivers calls late, so the workers need not.
 FAULTS = {
     name: inject
     for name, inject in soak_module.FAULTS.items()
@@ -40,7 +40,7 @@
 
 
 def fault(name):
-    """Registers a fault of the network."""
+    """Registers a coroutine function that injects a simulated fault."""
 
     def register(function):
         FAULTS[name] = function
@@ -50,158 +50,171 @@
 
 
 @fault("answers lost")
-async def answers_lost(soak):
-    """Lets some answers of all calls get lost."""
-    network = soak.made.network
-    network.lose_share = LOSE_SHARE
-    await asyncio.sleep(soak.luck.uniform(0.2, LONGEST_LOSS_S))
-    network.lose_share = 0.0
+async def lose_answers(soak):
+    """Loses a fraction ANSWER_LOSS_SHARE of all answers for a while."""
+    network = soak.cell.network
+    network.answer_loss_share = ANSWER_LOSS_SHARE
+    await asyncio.sleep(soak.rng.uniform(0.2, LONGEST_LOSS_S))
+    network.answer_loss_share = 0.0
 
 
 @fault("calls late")
-async def calls_late(soak):
-    """Lets some calls be carried out late and never answered."""
-    network = soak.made.network
-    network.late_share = LATE_SHARE
-    await asyncio.sleep(soak.luck.uniform(0.2, LONGEST_LOSS_S))
-    network.late_share = 0.0
+async def delay_calls(soak):
+    """Delivers a fraction of all calls late and without an answer."""
+    network = soak.cell.network
+    network.late_call_share = LATE_CALL_SHARE
+    await asyncio.sleep(soak.rng.uniform(0.2, LONGEST_LOSS_S))
+    network.late_call_share = 0.0
 
 
 @fault("node cut from some")
-async def node_cut(soak):
-    """Cuts a node off from the store, from workers or from other nodes."""
-    names = sorted(soak.made.nodes)
+async def cut_member_off(soak):
+    """Cuts a process off from some of the store, workers and peers."""
+    names = sorted(soak.cell.members)
     if not names:
         return
-    node = soak.made.nodes[soak.luck.choice(names)]
-    source = node.process.address
-    others = [cell.STORE.partition(":")[0]]
-    others += [each.address.partition(":")[0] for each in soak.made.workers]
+    member = soak.cell.members[soak.rng.choice(names)]
+    source = member.process.address
+    others = [cell.STORE_ADDRESS.partition(":")[0]]
+    others += [each.address.partition(":")[0] for each in soak.cell.workers]
     others += [
         each.process.address
-        for each in soak.made.nodes.values()
-        if each is not node
+        for each in soak.cell.members.values()
+        if each is not member
     ]
-    count = soak.luck.randint(1, len(others))
-    pairs = {(source, other) for other in soak.luck.sample(others, count)}
-    soak.made.network.cut |= pairs
-    await asyncio.sleep(soak.luck.uniform(0.2, LONGEST_CUT_S))
-    soak.made.network.cut -= pairs
+    count = soak.rng.randint(1, len(others))
+    pairs = {(source, other) for other in soak.rng.sample(others, count)}
+    soak.cell.network.cut |= pairs
+    await asyncio.sleep(soak.rng.uniform(0.2, LONGEST_CUT_S))
+    soak.cell.network.cut -= pairs
 
 
 @fault("kill all")
-async def kill_all(soak):
-    """Kills all nodes at once and starts them again."""
-    names = sorted(set(soak.made.nodes) - soak.busy)
+async def kill_all_members(soak):
+    """Kills all processes without a fault at once and starts them again."""
+    names = sorted(set(soak.cell.members) - soak.busy)
     soak.busy.update(names)
     for name in names:
-        soak.made.nodes.pop(name).process.kill()
-    await asyncio.sleep(soak.luck.uniform(0.1, 1.0))
-    await asyncio.gather(*(soak.made.start(name) for name in names))
+        soak.cell.members.pop(name).process.kill()
+    await asyncio.sleep(soak.rng.uniform(0.1, 1.0))
+    await asyncio.gather(*(soak.cell.start(name) for name in names))
     soak.busy.difference_update(names)
 
 
 @fault("store slow")
-async def store_slow(soak):
-    """Lets the store take long for each append."""
-    store = soak.made.store
-    usual_s = store.append_s
-    store.append_s = soak.luck.uniform(*SLOW_APPEND_S)
-    await asyncio.sleep(soak.luck.uniform(0.5, LONGEST_SLOW_S))
-    store.append_s = min(store.append_s, usual_s)
+async def slow_store_down(soak):
+    """Makes each append of the store take longer for a while."""
+    store = soak.cell.store
+    original_s = store.append_delay_s
+    store.append_delay_s = soak.rng.uniform(*SLOW_APPEND_DELAY_S)
+    await asyncio.sleep(soak.rng.uniform(0.5, LONGEST_SLOW_STORE_S))
+    store.append_delay_s = min(store.append_delay_s, original_s)
 
 
 @fault("stops take long")
-async def stops_long(soak):
-    """Lets the tasks of a worker take a while to stop."""
-    worker = soak.luck.choice(soak.made.workers)
-    worker.stop_s = soak.luck.uniform(0.05, 0.6)
+async def prolong_stops(soak):
+    """Makes the tasks of a worker run on after a stop command.
+
+    The worker keeps this delay to the end of the run.
+    """
+    worker = soak.rng.choice(soak.cell.workers)
+    worker.stop_delay_s = soak.rng.uniform(0.05, 0.6)
 
 
 class Report:
-    """What one seed has shown.
+    """Results of one seed.
+
+    Args:
+        soak: The soak, after its run.
+        fleet_cell: Its cell.
 
     Attributes:
-        broken: Promises that broke, as sentences.
+        violations: Violations of the guarantees, as sentences.
         accepted: Number of accepted jobs.
-        covered: How often faults, losses, and the product's own reactions
-            came about.
+        counts: Number of injected faults, network faults, started run
+            attempts and events counted by the product, by name.
     """
 
-    def __init__(self, *, soak, made):
-        self.broken = sorted(set(soak.broken))
+    def __init__(self, *, soak, fleet_cell):
+        self.violations = sorted(set(soak.violations))
         self.accepted = len(soak.accepted)
-        self.covered = soak.injected + made.network.counts
-        for process in made.processes:
+        self.counts = soak.injected + fleet_cell.network.counts
+        for process in fleet_cell.processes:
             if process.node is None:
                 continue
             for (name, _), count in process.node.metrics.counters.items():
-                self.covered[name] += count
-        for worker in made.workers:
-            self.covered["starts"] += len(worker.starts)
+                self.counts[name] += count
+        for worker in fleet_cell.workers:
+            self.counts["starts"] += len(worker.starts)
 
 
 def explore(seed, seconds, *, late_in_new_lives=False):
-    """Plays one seed in virtual time.
+    """Runs one seed in virtual time.
 
     Args:
-        seed: Seed of all choices.
-        seconds: Virtual length of load and faults.
-        late_in_new_lives: Whether a late call is carried out also by a
-            later life of its worker.
+        seed: Seed of all random choices.
+        seconds: Duration of load and faults in virtual time.
+        late_in_new_lives: Whether a late call is delivered even if
+            its worker has been restarted since it was sent.
 
     Returns:
         The report.
     """
 
     async def scenario():
-        luck = random.Random(seed)
+        rng = random.Random(seed)
         async with cell.SimulatedCell(
-            luck=luck,
+            rng=rng,
             workers=WORKERS,
             work_ms=WORK_MS,
-            with_advice=luck.random() < 0.5,
-        ) as made:
-            made.network.late_in_new_lives = late_in_new_lives
-            soak = soak_module.Soak(made=made, seed=seed, faults=FAULTS)
+            with_advice=rng.random() < 0.5,
+        ) as fleet_cell:
+            fleet_cell.network.late_across_incarnations = late_in_new_lives
+            soak = soak_module.Soak(cell=fleet_cell, seed=seed, faults=FAULTS)
             await soak.run(seconds)
-            return Report(soak=soak, made=made)
+            return Report(soak=soak, fleet_cell=fleet_cell)
 
-    report, failed = virtual_time.play(scenario, seed)
-    report.broken += failed
+    report, failed = virtual_time.run(scenario, seed)
+    report.violations += failed
     return report
 
 
 class TraceFormatter(json_logger.JsonFormatter):
-    """Writes virtual time and process before each line."""
+    """Formats log lines with virtual time and process name in front."""
 
     def format(self, record):
-        """Returns the line of a record."""
-        host = virtual_time.HOST.get()
+        """Returns the line of a log record."""
+        host = virtual_time.CURRENT_HOST.get()
         name = "-" if host is None else host.name
-        now_s = asyncio.get_running_loop().time() - virtual_time.START_S
+        now_s = asyncio.get_running_loop().time() - virtual_time.START_TIME_S
         return f"{now_s:9.3f} {name} {super().format(record)}"
 
 
 def main():
-    """Explores seeds; the exit code tells whether a promise broke."""
+    """Explores seeds; exits with 1 if a guarantee was violated."""
     parser = argparse.ArgumentParser(prog="explore")
     parser.add_argument("--first", type=int, default=1, help="first seed")
-    parser.add_argument("--count", type=int, default=20, help="seeds")
+    parser.add_argument(
+        "--count", type=int, default=20, help="number of seeds"
+    )
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument(
         "--late-in-new-lives",
         action="store_true",
-        help="carry out late calls also in a later life of their worker",
+        help="deliver late calls also to restarted workers",
+    )
+    parser.add_argument(
+        "--trace",
+        action="store_true",
+        help="print the log lines of all processes",
     )
-    parser.add_argument("--trace", action="store_true", help="show the logs")
     arguments = parser.parse_args()
     handler = logging.StreamHandler(sys.stdout)
     logs.configure(member="explore", handler=handler)
     handler.setFormatter(TraceFormatter("%(levelname)s %(message)s"))
     if not arguments.trace:
         logging.disable(logging.CRITICAL)
-    covered = collections.Counter()
+    counts = collections.Counter()
     failed = 0
     for seed in range(arguments.first, arguments.first + arguments.count):
         report = explore(
@@ -209,16 +222,16 @@
             arguments.seconds,
             late_in_new_lives=arguments.late_in_new_lives,
         )
-        covered += report.covered
-        failed += bool(report.broken)
+        counts += report.counts
+        failed += bool(report.violations)
         print(
             f"seed {seed}: {report.accepted} accepted,"
-            f" {len(report.broken)} broken",
+            f" {len(report.violations)} broken",
             flush=True,
         )
-        for sentence in report.broken[:20]:
-            print(f"  {sentence}", flush=True)
-    for name, count in sorted(covered.items()):
+        for violation in report.violations[:20]:
+            print(f"  {violation}", flush=True)
+    for name, count in sorted(counts.items()):
         print(f"{count:9} {name}")
     sys.exit(1 if failed else 0)
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/network.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/network.py
@@ -1,4 +1,4 @@
-"""A network between simulated processes: delays, cuts, losses, late calls."""
+"""Simulated network with delays, partitions, lost answers and late calls."""
 
 import asyncio
 import collections
@@ -14,16 +14,18 @@
 
 __all__ = ["Network", "Session"]
 
-# Usual one-way delay, and now and then a longer one.
+# Bounds of the usual one-way delay, and of the long delay that a share of
+# LONG_DELAY_SHARE of the messages gets.
 DELAY_S = (0.0003, 0.004)
-SLOW_SHARE = 0.02
-SLOW_S = (0.01, 0.25)
-# The platform carries out unanswered orders up to 12 s later.
-LATE_S = (0.2, 12.0)
+LONG_DELAY_SHARE = 0.02
+LONG_DELAY_S = (0.01, 0.25)
+# The platform may apply unanswered commands up to 12 s later.
+LATE_DELAY_S = (0.2, 12.0)
 CONNECT_TIMEOUT_S = 0.5
-# A peer that is silent this long is given up by its heartbeat.
-HEARTBEAT_S = 1.5
-HEARTBEAT_LOOK_S = 0.25
+# A WebSocket is closed when its ends do not hear from each other for this
+# time.
+HEARTBEAT_TIMEOUT_S = 1.5
+HEARTBEAT_CHECK_INTERVAL_S = 0.25
 JOB_ID_SIZE = 16
 
 
@@ -31,40 +33,55 @@
     """Connects processes by address.
 
     Args:
-        luck: Source of random choices.
+        rng: Random number generator.
 
     Attributes:
-        cut: Pairs of host names between which nothing passes.
-        lose_share: Share of calls whose answer is lost.
-        late_share: Share of calls that are carried out late and not
-            answered.
-        lives: Functions that tell the life of the process at an address.
-        late_in_new_lives: Whether a late call is carried out also by a
-            later life than the one that it was sent to.
-        counts: How often each thing has happened.
+        cut: Pairs of host names between which all messages are dropped.
+        answer_loss_share: Fraction of the calls that take effect but whose
+            answer is lost.
+        late_call_share: Fraction of the calls that are delivered late and
+            not answered.
+        incarnations: Functions that return the incarnation of the process at
+            an address, by address.
+        late_across_incarnations: Whether a late call is delivered even if
+            the process at its address has been restarted since it was sent.
+        counts: Number of dropped ("cut"), late and lost calls, by label.
     """
 
-    def __init__(self, *, luck):
-        self.luck = luck
+    def __init__(self, *, rng):
+        self.rng = rng
         self.cut = set()
-        self.lose_share = 0.0
-        self.late_share = 0.0
-        self.lives = {}
-        self.late_in_new_lives = False
+        self.answer_loss_share = 0.0
+        self.late_call_share = 0.0
+        self.incarnations = {}
+        self.late_across_incarnations = False
         self.counts = collections.Counter()
         self.servers = {}
         self.sockets = {}
 
     def listen(self, address, app, host=None):
-        """Serves an application at an address."""
+        """Serves an application at an address.
+
+        Args:
+            address: Host name and port.
+            app: The application.
+            host: Host that runs it, or None for a stand-in.
+        """
         self.servers[address] = applications.Server(app=app, host=host)
 
     def listen_sockets(self, address, serve, host):
-        """Serves WebSockets at an address."""
+        """Serves WebSockets at an address.
+
+        Args:
+            address: Host name and port.
+            serve: Coroutine function called with the server's end of each
+                socket.
+            host: Host that runs it.
+        """
         self.sockets[address] = (serve, host)
 
     def close(self, host):
-        """Closes all addresses of a process, and its calls in hand."""
+        """Closes all addresses of a host and its calls in progress."""
         for address, server in list(self.servers.items()):
             if server.host is host:
                 del self.servers[address]
@@ -74,100 +91,126 @@
                 del self.sockets[address]
 
     def spawn(self, coroutine):
-        """Runs a part of the network, which is in no process."""
+        """Starts a task that belongs to the network, not to any host."""
         loop = asyncio.get_running_loop()
         return loop.create_task(coroutine, context=contextvars.Context())
 
-    def life(self, address):
-        """Returns the life of the process at an address, if known."""
-        return self.lives[address]() if address in self.lives else None
+    def incarnation_at(self, address):
+        """Returns the incarnation of a process, None if it is not tracked."""
+        return (
+            self.incarnations[address]()
+            if address in self.incarnations
+            else None
+        )
 
-    def parted(self, one, other):
-        """Whether nothing passes between two hosts."""
+    def is_cut(self, one, other):
+        """Whether messages between two hosts are dropped."""
         return (one, other) in self.cut or (other, one) in self.cut
 
     async def delay(self):
-        """Waits for a one-way delay."""
-        slow = self.luck.random() < SLOW_SHARE
-        bounds = SLOW_S if slow else DELAY_S
-        await asyncio.sleep(self.luck.uniform(*bounds))
-
-    async def carry(self, call, found):
-        """Carries one call there and back."""
+        """Waits for a random one-way delay."""
+        slow = self.rng.random() < LONG_DELAY_SHARE
+        bounds = LONG_DELAY_S if slow else DELAY_S
+        await asyncio.sleep(self.rng.uniform(*bounds))
+
+    async def transmit(self, call, future):
+        """Delivers a call to its server and the answer to the caller.
+
+        Args:
+            call: The call.
+            future: Future that gets the answer; it stays pending if the
+                caller gets neither an answer nor an error.
+        """
         name = call.url.path.rpartition("/")[2]
         if len(name) == JOB_ID_SIZE:
             name = f"{call.method} job"
         address = f"{call.url.host}:{call.url.port}"
-        life = self.life(address)
+        incarnation = self.incarnation_at(address)
         await self.delay()
-        if self.parted(call.source, call.url.host):
+        if self.is_cut(call.source, call.url.host):
             self.counts["cut"] += 1
-            if self.luck.random() < 0.5:
+            if self.rng.random() < 0.5:
                 await asyncio.sleep(CONNECT_TIMEOUT_S)
-                applications.settle(
-                    found, error=aiohttp.ConnectionTimeoutError()
+                applications.resolve_call(
+                    future, error=aiohttp.ConnectionTimeoutError()
                 )
             return
-        late = self.luck.random() < self.late_share
+        late = self.rng.random() < self.late_call_share
         if late:
             self.counts[f"late {name}"] += 1
-            await asyncio.sleep(self.luck.uniform(*LATE_S))
-        if life != self.life(address):
+            await asyncio.sleep(self.rng.uniform(*LATE_DELAY_S))
+        if incarnation != self.incarnation_at(address):
             if not late:
-                applications.settle(
-                    found, error=aiohttp.ServerDisconnectedError()
+                applications.resolve_call(
+                    future, error=aiohttp.ServerDisconnectedError()
                 )
-            if not late or not self.late_in_new_lives:
+            if not late or not self.late_across_incarnations:
                 return
         server = self.servers.get(address)
         if server is None:
-            applications.settle(found, error=refused(call.url))
+            applications.resolve_call(
+                future, error=connection_refused(call.url)
+            )
             return
         answer = await server.answer(call)
         await self.delay()
-        if late or self.parted(call.source, call.url.host):
+        if late or self.is_cut(call.source, call.url.host):
             return
-        if answer is None or self.luck.random() < self.lose_share:
+        if answer is None or self.rng.random() < self.answer_loss_share:
             self.counts[f"lost {name}"] += 1
-            applications.settle(found, error=aiohttp.ServerDisconnectedError())
+            applications.resolve_call(
+                future, error=aiohttp.ServerDisconnectedError()
+            )
             return
-        applications.settle(found, answer=answer)
+        applications.resolve_call(future, answer=answer)
 
     async def connect(self, source, url):
-        """Opens a WebSocket and returns the end of the caller."""
-        await asyncio.sleep(self.luck.uniform(*DELAY_S))
-        found = self.sockets.get(f"{url.host}:{url.port}")
-        if self.parted(source, url.host):
+        """Opens a WebSocket and returns the caller's end.
+
+        Raises:
+            TimeoutError: The hosts are cut off from each other.
+            aiohttp.ClientConnectorError: Nothing listens at the address.
+        """
+        await asyncio.sleep(self.rng.uniform(*DELAY_S))
+        endpoint = self.sockets.get(f"{url.host}:{url.port}")
+        if self.is_cut(source, url.host):
             await asyncio.sleep(CONNECT_TIMEOUT_S)
             raise TimeoutError
-        if found is None:
-            raise refused(url)
-        serve, host = found
+        if endpoint is None:
+            raise connection_refused(url)
+        serve, host = endpoint
         ends = [Socket(self, None), Socket(self, host)]
-        ends[0].other, ends[1].other = ends[1], ends[0]
-        ends[0].host = virtual_time.HOST.get()
+        ends[0].remote, ends[1].remote = ends[1], ends[0]
+        ends[0].host = virtual_time.CURRENT_HOST.get()
         host.spawn(serve(ends[1]))
-        self.spawn(self.beat(ends, source, url.host))
+        self.spawn(self.monitor_heartbeat(ends, source, url.host))
         return ends[0]
 
-    async def beat(self, ends, source, target):
-        """Closes a socket whose ends do not hear of each other."""
+    async def monitor_heartbeat(self, ends, source, target):
+        """Closes a socket when its ends no longer reach each other.
+
+        That is at once when the host of an end is dead, and after
+        HEARTBEAT_TIMEOUT_S when a host is frozen or the hosts are cut off
+        from each other.
+        """
         silent_s = 0.0
         while not ends[0].closed and not ends[1].closed:
-            await asyncio.sleep(HEARTBEAT_LOOK_S)
+            await asyncio.sleep(HEARTBEAT_CHECK_INTERVAL_S)
             if any(end.host is not None and end.host.dead for end in ends):
                 break
             frozen = any(end.host and end.host.frozen for end in ends)
-            quiet = frozen or self.parted(source, target)
-            silent_s = silent_s + HEARTBEAT_LOOK_S if quiet else 0.0
-            if silent_s >= HEARTBEAT_S:
+            unreachable = frozen or self.is_cut(source, target)
+            silent_s = (
+                silent_s + HEARTBEAT_CHECK_INTERVAL_S if unreachable else 0.0
+            )
+            if silent_s >= HEARTBEAT_TIMEOUT_S:
                 break
         for end in ends:
-            end.end()
+            end.close_end()
 
 
-def refused(url):
-    """Returns the error of an address that nobody serves."""
+def connection_refused(url):
+    """Returns the error of a call to an address without a listener."""
     key = types.SimpleNamespace(
         host=url.host, port=url.port, ssl=False, is_ssl=False
     )
@@ -175,7 +218,7 @@
 
 
 class Answer:
-    """Answer to a call, as its caller reads it."""
+    """Answer to a call, with the part of aiohttp's interface in use."""
 
     def __init__(self, response):
         self.status = response.status
@@ -187,12 +230,12 @@
         return self.body
 
     async def json(self):
-        """Returns the body as an object."""
+        """Returns the decoded JSON body."""
         return json.loads(self.body)
 
 
 class Call:
-    """One call of a process, as a context manager of its answer."""
+    """One call of a process; a context manager that returns its answer."""
 
     def __init__(self, session, method, url, data, headers, timeout):
         self.network = session.network
@@ -204,22 +247,22 @@
         self.timeout = timeout
 
     async def __aenter__(self):
-        found = asyncio.get_running_loop().create_future()
-        self.network.spawn(self.network.carry(self, found))
+        future = asyncio.get_running_loop().create_future()
+        self.network.spawn(self.network.transmit(self, future))
         total_s = None if self.timeout is None else self.timeout.total
         async with asyncio.timeout(total_s):
-            return Answer(await found)
+            return Answer(await future)
 
     async def __aexit__(self, *_):
         return None
 
 
 class Session:
-    """What a process uses in place of a client session.
+    """Replacement for ``aiohttp.ClientSession`` in a simulated process.
 
     Args:
-        network: The network.
-        source: Host of the process.
+        network: The simulated network.
+        source: Host name of the process.
     """
 
     def __init__(self, network, source):
@@ -227,47 +270,58 @@
         self.source = source
 
     def request(self, method, url, *, data=None, headers=None, timeout=None):
-        """Makes a call."""
+        """Returns a call, which is sent when its context is entered."""
         return Call(self, method, url, data, headers, timeout)
 
     def post(self, url, *, data=None, headers=None, timeout=None):
-        """Makes a call by POST."""
+        """Returns a POST call."""
         return self.request(
             "POST", url, data=data, headers=headers, timeout=timeout
         )
 
     async def ws_connect(self, url, **_):
-        """Opens a WebSocket."""
+        """Opens a WebSocket and returns this process's end."""
         return await self.network.connect(self.source, yarl.URL(url))
 
     async def close(self):
-        """Closes the session."""
+        """Does nothing; a session holds no connections."""
 
 
 class Socket:
-    """One end of a WebSocket; what is sent arrives in its order."""
+    """One end of a WebSocket; messages arrive in the order of sending.
+
+    Args:
+        network: The simulated network.
+        host: Host of this end.
+
+    Attributes:
+        remote: The other end.
+        inbox: Messages that have arrived; None marks the end.
+        last_arrival_s: Loop time at which the message that this end sent
+            last arrives.
+    """
 
     def __init__(self, network, host):
         self.network = network
         self.host = host
-        self.other = None
+        self.remote = None
         self.closed = False
-        self.arrived = asyncio.Queue()
-        self.free_at_s = 0.0
+        self.inbox = asyncio.Queue()
+        self.last_arrival_s = 0.0
 
     async def send_bytes(self, data):
-        """Sends a message."""
+        """Sends a binary message, which arrives after a random delay."""
         if self.closed:
-            raise ConnectionResetError("the socket is closed")
+            raise ConnectionResetError("the simulated WebSocket is closed")
         loop = asyncio.get_running_loop()
-        delay_s = self.network.luck.uniform(*DELAY_S)
-        self.free_at_s = max(self.free_at_s, loop.time() + delay_s)
+        delay_s = self.network.rng.uniform(*DELAY_S)
+        self.last_arrival_s = max(self.last_arrival_s, loop.time() + delay_s)
         message = types.SimpleNamespace(
             type=aiohttp.WSMsgType.BINARY, data=data
         )
         loop.call_at(
-            self.free_at_s,
-            self.other.arrived.put_nowait,
+            self.last_arrival_s,
+            self.remote.inbox.put_nowait,
             message,
             context=contextvars.Context(),
         )
@@ -276,18 +330,18 @@
         return self
 
     async def __anext__(self):
-        message = await self.arrived.get()
+        message = await self.inbox.get()
         if message is None:
             raise StopAsyncIteration
         return message
 
-    def end(self):
+    def close_end(self):
         """Closes this end."""
         if not self.closed:
             self.closed = True
-            self.arrived.put_nowait(None)
+            self.inbox.put_nowait(None)
 
     async def close(self):
         """Closes both ends."""
-        self.end()
-        self.other.end()
+        self.close_end()
+        self.remote.close_end()
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/digest.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/digest.py
@@ -1,7 +1,7 @@
-"""Prints a digest of all that a seed has logged.
+"""Prints a digest of all log lines of a seed.
 
-Run as a program with a seed and a number of objects that are made before, so
-that later ones lie elsewhere in memory.
+Run as a program with a seed and a number of objects to allocate first, so
+that the objects of the simulation get other memory addresses.
 """
 
 import hashlib
@@ -14,21 +14,22 @@
 from cicadafold_standins.simulation import explore
 
 SECONDS = 8.0
-# Processes have random names, which decide nothing.
+# Random parts of process names and memory addresses; the schedule does not
+# depend on them.
 RANDOM_NAMES = re.compile(r"/[0-9a-f]{8}|0x[0-9a-f]+")
 
 
 def main():
-    """Plays a seed and prints the digest of its log."""
-    kept = [object() for _ in range(int(sys.argv[2]))]
-    written = io.StringIO()
-    handler = logging.StreamHandler(written)
+    """Runs a seed and prints the digest of its log."""
+    padding = [object() for _ in range(int(sys.argv[2]))]
+    output = io.StringIO()
+    handler = logging.StreamHandler(output)
     logs.configure(member="digest", handler=handler)
     handler.setFormatter(explore.TraceFormatter("%(levelname)s %(message)s"))
     explore.explore(int(sys.argv[1]), SECONDS)
-    text = RANDOM_NAMES.sub("", written.getvalue())
+    text = RANDOM_NAMES.sub("", output.getvalue())
     print(hashlib.sha256(text.encode()).hexdigest())
-    del kept
+    del padding
 
 
 if __name__ == "__main__":
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/mutants.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/mutants.py
@@ -1,13 +1,15 @@
-"""Faults put into the product, each of which the explorer has to find.
-
-Run as a program with the name of a mutant, the first seed and their number;
-it prints the first seed that finds the mutant. ``none`` is the product as it
-is.
-
-Of those that stand for faults which the explorer has found, some need more
-seeds than a test can play: ``closed_work``, ``final_states``,
-``numbers_are``, ``stalls_are``, ``unknown_work``, ``workers_are``. Unit
-tests fail for each of them.
+"""Mutants of the product: faults that the explorer has to find.
+
+Run as a program with the name of a mutant, the first seed and the number of
+seeds; it prints the first seed that finds the mutant. ``none`` stands for
+the unchanged product.
+
+Some mutants, which stand for faults that the explorer once found, need more
+seeds than a test can run: ``acknowledgements_are_always_sent``,
+``ends_of_closed_tasks_are_acknowledged``,
+``final_states_are_shown_unrecorded``, ``stalls_are_not_detected``,
+``tasks_of_unread_jobs_are_stopped`` and
+``workers_closed_to_starts_are_used``. For each of them a unit test fails.
 """
 
 import logging
@@ -34,56 +36,56 @@
 
 
 def mutant(function):
-    """Registers a function that puts a fault into the product."""
+    """Registers a function that patches a fault into the product."""
     MUTANTS[function.__name__] = function
     return function
 
 
 @mutant
-def unknown_work_is_stopped():
-    """Takes work of a job that is not read yet for work of no job."""
+def tasks_of_unread_jobs_are_stopped():
+    """Treats tasks of a job whose record is not read yet as of no job."""
     job_table.JobTable.is_unknown = lambda self, name: False
 
 
 @mutant
-def numbers_are_sent_always():
-    """Acknowledges ends also long after the last answer."""
+def acknowledgements_are_always_sent():
+    """Acknowledges ends even long after the worker's last answer."""
     worker_link.WorkerLink.acknowledgement_to_send = lambda self, now_ms: (
         self.worker.acknowledged
     )
 
 
 @mutant
-def workers_are_used_unrecorded():
-    """Starts tasks on workers that are recorded as given no new ones."""
+def workers_closed_to_starts_are_used():
+    """Starts tasks on workers whose record says that they get none."""
     runs.Worker.closed_to_starts = property(
         lambda self: False, lambda self, _: None
     )
 
 
 @mutant
-def stalls_are_not_noticed():
-    """Goes on after a freeze where it stopped."""
+def stalls_are_not_detected():
+    """Keeps sending commands after the process was frozen."""
     term.Term.commands_allowed = lambda self: True
 
 
 @mutant
-def ends_are_not_recorded_first():
-    """Acknowledges ends before they are in the journal."""
+def ends_are_acknowledged_unrecorded():
+    """Acknowledges ends before they are durable in the journal."""
     progress_writer.ProgressWriter.durable_batch = property(
         lambda self: math.inf, lambda self, value: None
     )
 
 
 @mutant
-def closed_work_is_acknowledged():
-    """Acknowledges ends of closed work before the close is recorded."""
+def ends_of_closed_tasks_are_acknowledged():
+    """Acknowledges ends of closed tasks before the close is recorded."""
     worker_events.WorkerEventHandler.on_closed_task_end = lambda self, end: 0
 
 
 @mutant
-def lost_orders_are_forgotten():
-    """Takes an order without an answer for one that was not carried out."""
+def unconfirmed_starts_are_forgotten():
+    """Treats a start command without an answer as not applied."""
 
     def on_unconfirmed_start(self, run, error):
         self.events.on_run_gone(self.worker, run, "unreachable")
@@ -92,8 +94,8 @@
 
 
 @mutant
-def leases_are_not_waited_for():
-    """Starts the tasks of a silent worker elsewhere at once."""
+def leases_of_silent_workers_are_ignored():
+    """Starts the tasks of a silent worker elsewhere before its lease ends."""
 
     def mark_silent(self, now_ms, longest_ms):
         self.silent_since_ms = self.lapse_at_ms = now_ms
@@ -102,14 +104,14 @@
 
 
 @mutant
-def unanswering_workers_are_not_inherited():
-    """Starts tasks in a new term before all workers have told theirs."""
+def inherited_runs_are_not_awaited():
+    """Starts tasks in a new term before all workers reported their runs."""
     inherited_runs.InheritedRuns.all_runs_known = lambda self, pool: True
 
 
 @mutant
 def journal_is_not_fenced():
-    """Lets the scheduler of an earlier term record further progress."""
+    """Accepts journal records of the scheduler of an earlier term."""
 
     append = log_store.LogStore.append
 
@@ -120,8 +122,8 @@
 
 
 @mutant
-def claims_are_not_numbered_by_the_log():
-    """Counts terms from what is known, instead of by the claim's offset."""
+def terms_are_counted_locally():
+    """Numbers terms from the last known one, not by the claim's offset."""
 
     def apply_record(self, key, value, offset):
         if key == terms.KEY and value:
@@ -133,8 +135,8 @@
 
 
 @mutant
-def final_states_are_shown_at_once():
-    """Shows a job's end before it is recorded."""
+def final_states_are_shown_unrecorded():
+    """Shows the final state of a job before it is recorded."""
     state_of = term.Term.job_state
 
     def at_once(self, job_id):
@@ -147,8 +149,8 @@
 
 
 @mutant
-def rooms_are_given_back_when_stopped():
-    """Gives back the room of a run as soon as its stop is answered."""
+def resources_are_released_at_stop_answer():
+    """Releases the resources of a run when its stop command is answered."""
     stop_once = worker_link.WorkerLink.send_stop
 
     async def at_once(self, run):
@@ -161,15 +163,15 @@
 
 
 def main():
-    """Plays seeds until one finds the mutant, and prints it."""
+    """Runs seeds until one finds the mutant, and prints that seed."""
     logging.disable(logging.CRITICAL)
     name, first, count = sys.argv[1], int(sys.argv[2]), int(sys.argv[3])
     if name != "none":
         MUTANTS[name]()
     for seed in range(first, first + count):
         report = explore.explore(seed, SECONDS)
-        if report.broken:
-            print(seed, *report.broken[:5], sep="\n")
+        if report.violations:
+            print(seed, *report.violations[:5], sep="\n")
             return
 
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/test_explore.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/test_explore.py
@@ -1,4 +1,4 @@
-"""The explorer finds seeded faults, and none in the product as it is."""
+"""The explorer finds the mutants, and no fault in the unchanged product."""
 
 import os
 import subprocess
@@ -9,22 +9,39 @@
 from cicadafold_standins.simulation.tests import digest
 from cicadafold_standins.simulation.tests import mutants
 
-# First seeds, and seeds that found a fault which is mended.
-HELD = [(1, 6), (10, 1), (28, 1), (63, 1), (78, 1), (202, 1), (217, 1)]
-# A seed that finds each mutant, found in four plays of four.
-FOUND = {
-    "claims_are_not_numbered_by_the_log": 1,
-    "ends_are_not_recorded_first": 1,
+# Pairs of first seed and number of seeds; the single seeds each found a fault
+# that has been fixed.
+SEEDS_WITHOUT_VIOLATION = [
+    (1, 6),
+    (10, 1),
+    (28, 1),
+    (63, 1),
+    (78, 1),
+    (202, 1),
+    (217, 1),
+]
+# A seed that finds each mutant, in four of four runs.
+SEED_BY_MUTANT = {
+    "terms_are_counted_locally": 1,
+    "ends_are_acknowledged_unrecorded": 1,
     "journal_is_not_fenced": 16,
-    "leases_are_not_waited_for": 2,
-    "lost_orders_are_forgotten": 4,
-    "rooms_are_given_back_when_stopped": 3,
-    "unanswering_workers_are_not_inherited": 1,
+    "leases_of_silent_workers_are_ignored": 2,
+    "unconfirmed_starts_are_forgotten": 4,
+    "resources_are_released_at_stop_answer": 3,
+    "inherited_runs_are_not_awaited": 1,
 }
 
 
 def run(module, *arguments):
-    """Returns what a program prints whose string hashes are fixed."""
+    """Returns the output of a program that runs with fixed string hashes.
+
+    Args:
+        module: Module that is run as a program.
+        arguments: Arguments of the program.
+
+    Returns:
+        Standard output, with standard error added if the program fails.
+    """
     done = subprocess.run(
         [sys.executable, "-m", module.__name__, *map(str, arguments)],
         env=os.environ | {"PYTHONHASHSEED": "0"},
@@ -35,19 +52,19 @@
     return done.stdout + (done.stderr if done.returncode else "")
 
 
-def test_seed_gives_the_same_schedule_again():
-    """Where objects lie in memory decides nothing."""
-    first, second = (run(digest, 4, made) for made in (0, 1_000_000))
+def test_seed_reproduces_its_schedule():
+    """The schedule does not depend on the memory addresses of objects."""
+    first, second = (run(digest, 4, count) for count in (0, 1_000_000))
     assert first == second
 
 
-@pytest.mark.parametrize(("first", "count"), HELD)
-def test_promises_hold(first, count):
-    """No promise breaks under faults of the network and the processes."""
+@pytest.mark.parametrize(("first", "count"), SEEDS_WITHOUT_VIOLATION)
+def test_guarantees_hold(first, count):
+    """No guarantee is violated under faults of network and processes."""
     assert run(mutants, "none", first, count) == ""
 
 
-@pytest.mark.parametrize("name", sorted(FOUND))
-def test_seeded_fault_is_found(name):
-    """The checks are able to fail."""
-    assert run(mutants, name, FOUND[name], 1) != ""
+@pytest.mark.parametrize("name", sorted(SEED_BY_MUTANT))
+def test_mutant_is_found(name):
+    """The checks fail for a product with a known fault."""
+    assert run(mutants, name, SEED_BY_MUTANT[name], 1) != ""
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/test_virtual_time.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/test_virtual_time.py
@@ -1,4 +1,4 @@
-"""Tests of the loop in virtual time and of its network."""
+"""Tests of the event loop in virtual time and of the simulated network."""
 
 import asyncio
 import random
@@ -14,22 +14,22 @@
 
 
 def test_time_passes_at_once():
-    """An hour takes no time, and the product's clock follows."""
+    """An hour of virtual time passes at once, and the clock follows it."""
 
     async def scenario():
         before_ms = clock.monotonic_ms()
         await asyncio.sleep(3600.0)
         return clock.monotonic_ms() - before_ms
 
-    begun_s = time.monotonic()
-    passed_ms, failed = virtual_time.play(scenario, 1)
+    started_s = time.monotonic()
+    passed_ms, failed = virtual_time.run(scenario, 1)
     assert passed_ms == pytest.approx(3_600_000.0)
     assert failed == []
-    assert time.monotonic() - begun_s < 60.0
+    assert time.monotonic() - started_s < 60.0
 
 
-def test_frozen_host_goes_on_where_it_stopped_and_a_dead_one_does_not():
-    """What became due while it was frozen runs when it is thawed."""
+def test_frozen_host_resumes_and_dead_host_does_not():
+    """Callbacks that became due while a host was frozen run when thawed."""
     ticks = []
 
     async def tick(name):
@@ -48,36 +48,42 @@
         hosts[0].thaw()
         await asyncio.sleep(0.9)
 
-    virtual_time.play(scenario, 1)
+    virtual_time.run(scenario, 1)
     assert ticks == ["frozen", "dead"] * 2 + ["frozen"]
 
 
 @pytest.mark.parametrize(
     ("change", "error"),
     [
-        (lambda made: None, None),
-        (lambda made: made.cut.add(("caller", "server")), TimeoutError),
-        (lambda made: made.servers.clear(), aiohttp.ClientConnectorError),
+        (lambda network: None, None),
+        (lambda network: network.cut.add(("caller", "server")), TimeoutError),
         (
-            lambda made: setattr(made, "lose_share", 1.0),
+            lambda network: network.servers.clear(),
+            aiohttp.ClientConnectorError,
+        ),
+        (
+            lambda network: setattr(network, "answer_loss_share", 1.0),
             aiohttp.ServerDisconnectedError,
         ),
-        (lambda made: setattr(made, "late_share", 1.0), TimeoutError),
+        (
+            lambda network: setattr(network, "late_call_share", 1.0),
+            TimeoutError,
+        ),
     ],
 )
 def test_calls_fail_as_those_of_a_real_session(change, error):
-    """A caller gets the errors that the product's clients expect."""
+    """Callers get the exceptions of aiohttp that the product handles."""
 
     async def handle(request):
         return web.json_response({"got": (await request.json())["x"]})
 
     async def scenario():
-        made = network.Network(luck=random.Random(3))
+        simulated_network = network.Network(rng=random.Random(3))
         app = web.Application()
         app.router.add_post("/api/x", handle)
-        made.listen("server:80", app)
-        change(made)
-        session = network.Session(made, "caller")
+        simulated_network.listen("server:80", app)
+        change(simulated_network)
+        session = network.Session(simulated_network, "caller")
         async with session.post(
             "http://server:80/api/x",
             data=b'{"x": 5}',
@@ -86,7 +92,7 @@
             return await answer.json()
 
     if error is None:
-        assert virtual_time.play(scenario, 1)[0] == {"got": 5}
+        assert virtual_time.run(scenario, 1)[0] == {"got": 5}
         return
     with pytest.raises(error):
-        virtual_time.play(scenario, 1)
+        virtual_time.run(scenario, 1)
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/virtual_time.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/virtual_time.py
@@ -1,4 +1,7 @@
-"""An event loop whose time passes at once, with hosts that freeze and die."""
+"""Event loop in virtual time, with hosts that can be frozen or killed.
+
+The loop never waits: when nothing is due, its time jumps to the next timer.
+"""
 
 import asyncio
 import contextlib
@@ -12,95 +15,104 @@
 
 from cicadafold import clock
 
-__all__ = ["Host", "VirtualLoop", "play"]
+__all__ = ["Host", "VirtualLoop", "run"]
 
-# Hosts of the program that runs now; None is the world around them.
-HOST = contextvars.ContextVar("host", default=None)
-# Any moment does; callers' times of jobs count from it.
+# Host whose code runs now; None for the stand-ins, the network and the test.
+CURRENT_HOST = contextvars.ContextVar("host", default=None)
+# Wall clock at loop time 0; any value works. Start times of scheduled jobs
+# refer to it.
 EPOCH_MS = 1_700_000_000_000.0
-START_S = 1000.0
+START_TIME_S = 1000.0
 
 
 class Host:
-    """One process: what runs in its context stops when it freezes or dies.
+    """Simulated host with one process.
+
+    Callbacks in the context of a host run only while it is neither frozen
+    nor dead.
 
     Args:
         name: Name of the host.
 
     Attributes:
-        frozen: Whether nothing of it runs for now.
-        dead: Whether nothing of it runs any more.
-        parked: What became due while it was frozen.
+        frozen: Whether its callbacks are deferred.
+        dead: Whether its callbacks are dropped.
+        deferred: Callbacks that became due while it was frozen, in order.
     """
 
     def __init__(self, *, name):
         self.name = name
         self.frozen = False
         self.dead = False
-        self.parked = []
+        self.deferred = []
         self.tasks = set()
         self.context = contextvars.copy_context()
-        self.context.run(HOST.set, self)
+        self.context.run(CURRENT_HOST.set, self)
 
     def spawn(self, coroutine):
-        """Runs a coroutine in this process."""
+        """Starts a task for a coroutine in the context of this host."""
         loop = asyncio.get_running_loop()
         task = loop.create_task(coroutine, context=self.context.copy())
-        # A dead process's tasks are kept, so that none of them is closed.
+        # Keeps the tasks of a dead host referenced: a collected task would
+        # close its coroutine, and so run its cleanup code.
         self.tasks.add(task)
         return task
 
     def freeze(self):
-        """Lets nothing run until it is thawed."""
+        """Defers all callbacks until the host is thawed."""
         self.frozen = True
 
     def thaw(self):
-        """Runs what became due meanwhile, in its order."""
+        """Schedules the deferred callbacks in their order."""
         self.frozen = False
-        parked, self.parked = self.parked, []
+        deferred, self.deferred = self.deferred, []
         loop = asyncio.get_running_loop()
-        for handle, callback, arguments, context in parked:
+        for handle, callback, arguments, context in deferred:
             if not handle.cancelled():
                 loop.call_soon(callback, *arguments, context=context)
 
     def kill(self):
-        """Ends the process, without any last words."""
+        """Drops all callbacks, so that no cleanup code runs."""
         self.dead = True
-        self.parked.clear()
+        self.deferred.clear()
 
 
-class ClockSelector(selectors.SelectSelector):
-    """A selector that moves the time instead of waiting.
+class VirtualTimeSelector(selectors.SelectSelector):
+    """A selector that advances virtual time instead of waiting.
 
     Attributes:
-        now_s: Time of the loop.
+        now_s: Virtual time in seconds.
     """
 
     def __init__(self):
         super().__init__()
-        self.now_s = START_S
+        self.now_s = START_TIME_S
 
     def select(self, timeout=None):
-        """Lets the time pass.
+        """Advances the time by the timeout in seconds.
 
         Raises:
-            RuntimeError: Nothing will ever happen again.
+            RuntimeError: There is no timer, so the loop would wait forever.
         """
         if timeout is None:
-            raise RuntimeError("Nothing is left to happen.")
+            raise RuntimeError(
+                "No callback or timer is scheduled: the simulation would "
+                "wait forever."
+            )
         self.now_s += max(0.0, timeout)
         return []
 
 
 class NumberedTask(asyncio.Task):
-    """A task whose place in a set does not depend on its address.
+    """A task whose place in a set does not depend on its memory address.
 
-    Tasks that are cancelled together are so in the order of a set.
+    asyncio cancels groups of tasks in the order of a set, which must be the
+    same in each run of a seed.
     """
 
-    def __init__(self, *found, number, **others):
+    def __init__(self, *args, number, **kwargs):
         self.number = number
-        super().__init__(*found, **others)
+        super().__init__(*args, **kwargs)
 
     def __hash__(self):
         return self.number
@@ -110,12 +122,12 @@
     """An event loop in virtual time."""
 
     def __init__(self):
-        self.selector = ClockSelector()
+        self.selector = VirtualTimeSelector()
         super().__init__(self.selector)
         numbers = itertools.count(1)
         self.set_task_factory(
-            lambda loop, work, **others: NumberedTask(
-                work, loop=loop, number=next(numbers), **others
+            lambda loop, coroutine, **kwargs: NumberedTask(
+                coroutine, loop=loop, number=next(numbers), **kwargs
             )
         )
 
@@ -124,46 +136,59 @@
         return self.selector.now_s
 
     def call_soon(self, callback, *args, context=None):
-        """Runs a callback, if its host runs."""
+        """Schedules a callback, which runs only if its host does."""
         context = contextvars.copy_context() if context is None else context
-        host = context.get(HOST)
+        host = context.get(CURRENT_HOST)
         if host is None:
             return super().call_soon(callback, *args, context=context)
-        due = []
+        own_handle = []
         handle = super().call_soon(
-            deliver, host, due, callback, args, context=context
+            run_or_defer, host, own_handle, callback, args, context=context
         )
-        due.append(handle)
+        own_handle.append(handle)
         return handle
 
     def call_at(self, when, callback, *args, context=None):
-        """Runs a callback at a time, if its host runs then."""
+        """Schedules a callback at a time, if its host runs then."""
         context = contextvars.copy_context() if context is None else context
-        host = context.get(HOST)
+        host = context.get(CURRENT_HOST)
         if host is None:
             return super().call_at(when, callback, *args, context=context)
-        due = []
+        own_handle = []
         handle = super().call_at(
-            when, deliver, host, due, callback, args, context=context
+            when,
+            run_or_defer,
+            host,
+            own_handle,
+            callback,
+            args,
+            context=context,
         )
-        due.append(handle)
+        own_handle.append(handle)
         return handle
 
 
-def deliver(host, due, callback, arguments):
-    """Runs a callback of a host, or keeps it while the host is frozen."""
+def run_or_defer(host, own_handle, callback, arguments):
+    """Runs a callback of a host, or defers it while the host is frozen.
+
+    Args:
+        host: Host of the callback.
+        own_handle: List with the handle of the callback.
+        callback: The callback.
+        arguments: Arguments of the callback.
+    """
     if host.dead:
         return
     if host.frozen:
         context = contextvars.copy_context()
-        host.parked.append((due[0], callback, arguments, context))
+        host.deferred.append((own_handle[0], callback, arguments, context))
         return
     callback(*arguments)
 
 
 @contextlib.contextmanager
 def virtual_clock(loop):
-    """Lets the product read the loop's time."""
+    """Makes the product's clock return the time of the loop."""
     real = clock.monotonic_ms, clock.wall_ms
     clock.monotonic_ms = lambda: loop.time() * clock.MILLISECONDS
     clock.wall_ms = lambda: EPOCH_MS + loop.time() * clock.MILLISECONDS
@@ -173,41 +198,45 @@
         clock.monotonic_ms, clock.wall_ms = real
 
 
-def play(make, seed):
+def run(make_coroutine, seed):
     """Runs a coroutine in virtual time.
 
     Args:
-        make: Function that returns the coroutine.
-        seed: Seed of the choices that the product makes at random.
+        make_coroutine: Function that returns the coroutine.
+        seed: Seed of the global random number generator, which the product
+            uses.
 
     Returns:
-        What the coroutine returns, and the tasks that failed unnoticed.
+        The result of the coroutine, and a list of sentences on the tasks
+        whose exceptions were never retrieved.
     """
     loop = VirtualLoop()
     failed = []
-    loop.set_exception_handler(lambda _, found: note(failed, found))
+    loop.set_exception_handler(
+        lambda _, context: record_failed_task(failed, context)
+    )
     state = random.getstate()
     random.seed(seed)
     try:
         with virtual_clock(loop):
-            return loop.run_until_complete(make()), failed
+            return loop.run_until_complete(make_coroutine()), failed
     finally:
         random.setstate(state)
-        with muted():
+        with suppressed_teardown_messages():
             loop.close()
-            del loop, make
+            del loop, make_coroutine
             gc.collect()
 
 
-def note(failed, found):
-    """Notes a task that failed without anybody noticing."""
-    if isinstance(found.get("future"), asyncio.Task):
-        failed.append(f"{found['message']}: {found.get('exception')!r}")
+def record_failed_task(failed, context):
+    """Adds a task whose exception was never retrieved to a list."""
+    if isinstance(context.get("future"), asyncio.Task):
+        failed.append(f"{context['message']}: {context.get('exception')!r}")
 
 
 @contextlib.contextmanager
-def muted():
-    """Lets tasks that never came to their end be forgotten quietly."""
+def suppressed_teardown_messages():
+    """Suppresses the messages on pending tasks that are destroyed."""
     hook, sys.unraisablehook = sys.unraisablehook, lambda _: None
     level = logging.root.manager.disable
     logging.disable(logging.CRITICAL)
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_soak.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak, and that its checks can fail."""
+"""Short runs of the soak, and a test that its checks can fail."""
 
 import asyncio
 import types
@@ -9,59 +9,62 @@
 from cicadafold_standins.fleet import run_log
 from cicadafold_standins.fleet import soak
 
-# Seeds with their seconds. 103: an order was stopped, its worker started
-# anew, and the order was carried out late in the new life.
+# Pairs of seed and duration in seconds. Seed 103: a start command was stopped
+# and its worker restarted, then the command was applied late by the new
+# incarnation.
 SEEDS = ((1, 6.0), (2, 6.0), (103, 8.0))
 
 
 @pytest.mark.parametrize(("seed", "seconds"), SEEDS)
-def test_promises_hold_under_random_faults(seed, seconds):
-    """No promise breaks in a short run of a fixed seed."""
-    assert asyncio.run(soak.play(seed, seconds)) == []
+def test_guarantees_hold_under_random_faults(seed, seconds):
+    """No guarantee is violated in a short run of a fixed seed."""
+    assert asyncio.run(soak.run_seed(seed, seconds)) == []
 
 
-def test_checks_report_what_breaks():
-    """Each check of the soak fails when its promise is broken."""
+def test_checks_report_violations():
+    """Each check of the soak reports the violation of its guarantee."""
     worker = types.SimpleNamespace(
         name="w",
         running={"02.0.0.0": None},
         starts=[("01.0.0.0", 1)],
         done=[],
         overfilled=["x"],
-        again=["y"],
+        started_after_done=["y"],
     )
 
-    async def call(node, method, job):
-        # The cancelling of 04 was never acknowledged.
-        return 200, {"state": "cancelled" if job == "04" else "completed"}
+    async def call(member, method, job_id):
+        # The cancellation of 04 was never acknowledged.
+        return 200, {"state": "cancelled" if job_id == "04" else "completed"}
 
     async def scenario():
-        made = types.SimpleNamespace(
+        fleet_cell = types.SimpleNamespace(
             workers=[worker],
-            nodes={"n": None},
+            members={"n": None},
             call=call,
-            log=run_log.RunLog(),
+            run_log=run_log.RunLog(),
         )
-        found = soak.Soak(made=made, seed=1)
-        found.refused.add("01")
-        first = load.MadeStep(2, False, ())
-        second = load.MadeStep(1, False, (0,))
-        found.accepted["03"] = found.sent["03"] = load.MadeJob(
+        soak_run = soak.Soak(cell=fleet_cell, seed=1)
+        soak_run.refused.add("01")
+        first = load.GeneratedStep(2, False, ())
+        second = load.GeneratedStep(1, False, (0,))
+        soak_run.accepted["03"] = soak_run.sent["03"] = load.GeneratedJob(
             (first, second), 0, 0, False
         )
-        found.accepted["04"] = load.MadeJob((first,), 0, 0, True)
-        found.shown["03"] = ("failed", 0.0)
-        made.log.done.add("03.0.0.1")
-        made.log.noted_failures["03.0.0.0"] = load.MAX_FAILURES
+        soak_run.accepted["04"] = load.GeneratedJob((first,), 0, 0, True)
+        soak_run.shown_states["03"] = ("failed", 0.0)
+        fleet_cell.run_log.done.add("03.0.0.1")
+        fleet_cell.run_log.acknowledged_failures["03.0.0.0"] = (
+            load.MAX_FAILURES
+        )
         for task in ("03.0.0.0", "03.0.1.0"):
-            made.log.start(task)
-        await found.check()
-        return found.broken
+            fleet_cell.run_log.record_start(task)
+        await soak_run.check_after_healing()
+        return soak_run.violations
 
-    kept = soak.GONE_S, soak.SETTLE_S
-    soak.GONE_S = soak.SETTLE_S = 0.0
+    original = soak.LAST_RUNS_END_S, soak.RECOVERY_TIMEOUT_S
+    soak.LAST_RUNS_END_S = soak.RECOVERY_TIMEOUT_S = 0.0
     try:
-        broken = asyncio.run(scenario())
+        violations = asyncio.run(scenario())
     finally:
-        soak.GONE_S, soak.SETTLE_S = kept
-    assert len(broken) == 9
+        soak.LAST_RUNS_END_S, soak.RECOVERY_TIMEOUT_S = original
+    assert len(violations) == 9
