--- a/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
@@ -1,18 +1,18 @@
 """Costs of state at the letter's size, held by the code that serves it."""
 
 import asyncio
-from cicadafold.controllog import fold
 from cicadafold.controllog import records
+from cicadafold.controllog import replay
 from cicadafold.controllog import state as control_state
 from cicadafold import hosts as host_tables
 from cicadafold.membership import messages as gossip
 from cicadafold.membership import view as membership_view
-from cicadafold.ownership import keeper
 from cicadafold.ownership import rack as rack_owner
+from cicadafold.ownership import rack_claimer
+from cicadafold.ownership import rack_requests
 from cicadafold.ownership import target_link
-from cicadafold.ownership import work as rack_work
 from cicadafold.peerlink import frames
-from cicadafold.placement import lanes
+from cicadafold.placement import request_queue
 from cicadafold.placement import routing
 from cicadafold.platform import messages as platform
 from cicadafold_schema import messages
@@ -25,7 +25,7 @@
 __all__ = [
     "measure_configuration",
     "measure_host_list",
-    "measure_keeper",
+    "measure_rack_claimer",
     "measure_ledger",
     "measure_owner",
     "measure_routing",
@@ -82,13 +82,13 @@
         )
     made = routing.Routing(hosts=table, view=view, region="r1")
     kind = memory.make_kind()
-    for number in range(routing.HOME_BUCKETS * 3):
+    for number in range(routing.REQUEST_BUCKETS * 3):
         next(made.candidates(f"warm-{number}", "r1", kind, 0))
     times = []
     for number in range(DECISIONS):
         began = time.perf_counter()
         rack = next(made.candidates(f"q{number}", "r1", kind, 0))
-        made.rack_with_room(rack, kind, wait_ms=0, price_ms=1, headroom=0)
+        made.find_redirect_rack(rack, kind, wait_ms=0, price_ms=1, headroom=0)
         times.append((time.perf_counter() - began) * MICROSECONDS)
     return percentile(times, 0.5), percentile(times, 0.99)
 
@@ -148,7 +148,7 @@
     )
 
 
-async def measure_keeper(count):
+async def measure_rack_claimer(count):
     """Returns the milliseconds of one look at all racks."""
     table = host_table(make_hosts(count))
     state = control_state.ControlState()
@@ -177,11 +177,11 @@
         view=view,
         tail=types.SimpleNamespace(state=state),
     )
-    made = keeper.Keeper(node=node)
+    made = rack_claimer.RackClaimer(node=node)
     began = time.process_time()
     for _ in range(20):
-        made.follow()
-        await made.claim_orphans()
+        made.sync_owners()
+        await made.claim_unowned_racks()
         await made.hand_over()
     return (time.process_time() - began) / 20 * 1000
 
@@ -226,14 +226,14 @@
     tracemalloc.start()
     works = {}
     for number in range(count):
-        work = rack_work.Work(
+        work = rack_requests.RackRequest(
             request_id=f"request-{number}",
             kind=kind,
             team="t",
             payload="x" * 64,
             deadline_ms=1.0,
         )
-        work.tasks[work.request_id] = rack_work.RackTask(
+        work.tasks[work.request_id] = rack_requests.TargetTask(
             task_id=work.request_id, link=None, size=None, on_end=None
         )
         works[work.request_id] = work
@@ -265,7 +265,7 @@
         entry = platform.LogEntry(
             offset=offset, at_ms=offset, body=msgspec.Raw(body)
         )
-        fold.fold_entry(state, entry)
+        replay.apply_entry(state, entry)
     used = time.process_time() - began
     megabytes = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
@@ -276,10 +276,10 @@
 def measure_teams(count):
     """Returns the microseconds of serving the fairest team, p99."""
     kind = memory.make_kind(lane=messages.Lane.patient)
-    queue = lanes.Lanes()
+    queue = request_queue.RequestQueue()
     for number in range(count * 4):
         queue.push(
-            rack_work.Work(
+            rack_requests.RackRequest(
                 request_id=f"q{number}",
                 kind=kind,
                 team=f"team-{number % count}",
@@ -290,9 +290,9 @@
     times = []
     for _ in range(min(DECISIONS, count * 3)):
         began = time.perf_counter()
-        work = queue.first_patient(lambda team: True)
+        work = queue.peek_patient(lambda team: True)
         queue.remove(work)
-        queue.charge(work, cost=1.0, weight=1)
+        queue.charge_team(work, cost=1.0, weight=1)
         times.append((time.perf_counter() - began) * MICROSECONDS)
     return percentile(times, 0.99)
 
--- a/packages/cicadafold/src/cicadafold/cli/job_commands.py
+++ b/packages/cicadafold/src/cicadafold/cli/job_commands.py
@@ -1,4 +1,4 @@
-"""Commands of callers of jobs: submit, state, cancel, pending, explain."""
+"""Commands for jobs: submit, state, cancel, pending, explain."""
 
 import pathlib
 import secrets
@@ -25,10 +25,10 @@
 ID_BYTES = 8
 OPTIONS = [
     option(
-        "address", None, "IP number and port of an entry host.", flag=False
+        "address", None, "IP address and port of an entry host.", flag=False
     ),
     option("queue-host", None, "Host name of the queue.", flag=False),
-    option("queue-path", None, "Start of the queue's paths.", flag=False),
+    option("queue-path", None, "Prefix of the queue's URL paths.", flag=False),
 ]
 EXIT_CODES = {
     exception.LogUnavailable: client.ExitCode.NOT_RUN,
@@ -36,16 +36,17 @@
     exception.LinkNotOpen: client.ExitCode.UNREACHABLE,
     exception.OutcomeUnknown: client.ExitCode.UNKNOWN,
 }
-# Fields of a log line that are the same for all lines of a job.
+# Log fields that are printed at the start of a line, or that are equal in all
+# lines of a job; the other fields follow as name=value.
 COMMON_FIELDS = ("asctime", "levelname", "member", "message", "request_id")
 
 
 class JobCommand(command.Command):
-    """A command that calls one queue."""
+    """A command that makes one call to a queue."""
 
     options = OPTIONS
 
-    def jobs(self):
+    def queue_client(self):
         """Returns the client of the queue that the options name."""
         return job_client.JobClient(
             address=self.option("address") or "127.0.0.1:8161",
@@ -56,18 +57,18 @@
     def handle(self):
         """Runs the command and returns its exit code."""
         try:
-            return int(self.run_job())
+            return int(self.call_queue())
         except exception.CicadafoldError as error:
             self.line_error(error.message)
             self.line_error(f"Remedy: {error.remedy}")
             return int(EXIT_CODES.get(type(error), client.ExitCode.FAILED))
 
-    def run_job(self):
-        """Makes the call and returns the exit code."""
+    def call_queue(self):
+        """Makes the call, prints its result and returns the exit code."""
         raise NotImplementedError
 
 
-@base.registered
+@base.register_command
 class JobSubmitCommand(JobCommand):
     """Submits a job file and prints the job's identifier."""
 
@@ -76,18 +77,23 @@
     arguments = [argument("file", "Job file in TOML.")]
     options = [
         *OPTIONS,
-        option("id", None, "16 hexadecimal digits; random.", flag=False),
+        option(
+            "id",
+            None,
+            "Job identifier, 16 hexadecimal digits; random by default.",
+            flag=False,
+        ),
     ]
 
-    def run_job(self):
-        """Submits the job."""
+    def call_queue(self):
+        """Submits the job and prints its identifier."""
         job = self.option("id") or secrets.token_hex(ID_BYTES)
-        self.jobs().submit(job, job_file.load(self.argument("file")))
+        self.queue_client().submit(job, job_file.load(self.argument("file")))
         self.line(job)
         return client.ExitCode.DONE
 
 
-@base.registered
+@base.register_command
 class JobStateCommand(JobCommand):
     """Prints the state of a job."""
 
@@ -95,14 +101,14 @@
     description = "Prints the state of a job."
     arguments = [argument("id", "Identifier of the job.")]
 
-    def run_job(self):
-        """Asks for the state."""
-        state = self.jobs().state(self.argument("id"))
+    def call_queue(self):
+        """Prints the state, or that the job is not known."""
+        state = self.queue_client().state(self.argument("id"))
         self.line(state or "no such job")
         return client.ExitCode.DONE if state else client.ExitCode.FAILED
 
 
-@base.registered
+@base.register_command
 class JobCancelCommand(JobCommand):
     """Cancels a job."""
 
@@ -110,42 +116,44 @@
     description = "Cancels a job."
     arguments = [argument("id", "Identifier of the job.")]
 
-    def run_job(self):
-        """Cancels the job."""
-        known = self.jobs().cancel(self.argument("id"))
+    def call_queue(self):
+        """Cancels the job and prints whether it was known."""
+        known = self.queue_client().cancel(self.argument("id"))
         self.line("cancelled" if known else "no such job")
         return client.ExitCode.DONE if known else client.ExitCode.FAILED
 
 
-@base.registered
+@base.register_command
 class JobPendingCommand(JobCommand):
     """Prints how many jobs of a queue have not started."""
 
     name = "job pending"
     description = "Prints how many jobs of a queue have not started."
 
-    def run_job(self):
-        """Asks for the count."""
-        self.line(str(self.jobs().pending()))
+    def call_queue(self):
+        """Prints the number of jobs that have not started."""
+        self.line(str(self.queue_client().pending()))
         return client.ExitCode.DONE
 
 
-@base.registered
+@base.register_command
 class JobExplainCommand(command.Command):
-    """Tells from the logs of all hosts what happened to a job."""
+    """Prints the log lines about a job from the log files of the hosts."""
 
     name = "job explain"
-    description = "Tells from logs what happened to a job."
+    description = (
+        "Prints the lines about a job from log files, in order of time."
+    )
     arguments = [
         argument("id", "Identifier of the job."),
-        argument("logs", "Log files of the hosts.", multiple=True),
+        argument("logs", "Log files of the entry hosts.", multiple=True),
     ]
 
     def handle(self):
-        """Prints the lines about the job in the order of time."""
+        """Prints the lines; the command fails if there are none."""
         found = []
         for path in self.argument("logs"):
-            found.extend(lines_about(self.argument("id"), path))
+            found.extend(log_lines_of_job(self.argument("id"), path))
         for line in sorted(found, key=lambda line: line["asctime"]):
             details = " ".join(
                 f"{name}={value}"
@@ -154,12 +162,22 @@
             )
             when, member = line["asctime"], line.get("member", "")
             self.line(f"{when} {member} {line['message']} {details}".rstrip())
-        done = client.ExitCode.DONE if found else client.ExitCode.FAILED
-        return int(done)
+        exit_code = client.ExitCode.DONE if found else client.ExitCode.FAILED
+        return int(exit_code)
 
 
-def lines_about(job, path):
-    """Yields the log lines of a file that name a job."""
+def log_lines_of_job(job, path):
+    """Yields the log lines about a job.
+
+    Lines that are not JSON, or that have no time, are skipped.
+
+    Args:
+        job: Identifier of the job.
+        path: Path of a log file.
+
+    Yields:
+        The fields of a log line, as a dictionary.
+    """
     with pathlib.Path(path).open(encoding="utf-8", errors="replace") as lines:
         for text in lines:
             if job not in text:
--- /dev/null
+++ b/packages/cicadafold/src/cicadafold/coordination/__init__.py
@@ -0,0 +1,1 @@
+"""Coordinates recorded requests: acceptance, adoption, final outcome."""
--- a/packages/cicadafold/src/cicadafold/daemon/node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/node.py
@@ -14,13 +14,13 @@
 from cicadafold.controllog import snapshots
 from cicadafold.controllog import state as control_state
 from cicadafold.controllog import tail
+from cicadafold.coordination import coordinator
 from cicadafold.daemon import supervision
 from cicadafold import exception
 from cicadafold import hosts as host_table
-from cicadafold.ledger import coordinator
 from cicadafold.membership import gossip
 from cicadafold.membership import view
-from cicadafold.ownership import keeper
+from cicadafold.ownership import rack_claimer
 from cicadafold.ownership import service as rack_service
 from cicadafold.peerlink import client
 from cicadafold.placement import routing
@@ -79,7 +79,7 @@
         self.incarnation = uuid.uuid4().hex[:8]
         self.metrics = metrics.Metrics()
         self.events = events.RequestEvents(member=self.name)
-        self.burn = burn.BurnBook()
+        self.burn = burn.AnswerCounts()
         self.stop_requested = asyncio.Event()
         self.kinds_revision = -1
         self.kinds = {}
@@ -135,7 +135,7 @@
         self.hosts = host_table.HostTable(
             source=source,
             recorded=lambda: self.tail.state.rack_hosts,
-            is_owner=lambda: bool(self.keeper.owners),
+            is_owner=lambda: bool(self.rack_claimer.owners),
         )
         self.view = view.MembershipView(
             name=self.name,
@@ -145,7 +145,7 @@
         self.routing = routing.Routing(
             hosts=self.hosts, view=self.view, region=self.region
         )
-        self.keeper = keeper.Keeper(node=self)
+        self.rack_claimer = rack_claimer.RackClaimer(node=self)
         self.racks = rack_service.RackService(node=self)
         self.coordinator = coordinator.Coordinator(node=self)
         self.snapshotter = snapshots.Snapshotter(
@@ -159,14 +159,14 @@
             token=token,
             own_digests=self.own_digests,
         )
-        self.links = client.PeerLinks(
+        self.links = client.LaneLinks(
             session=self.session,
             token=token,
             resolve=self.resolve,
-            on_lost=self.gossiper.doubt,
+            on_lost=self.gossiper.schedule_probe,
         )
         self.coordinator.start()
-        self.tail.listen(self.on_records)
+        self.tail.add_listener(self.on_records)
 
     def supervisor(self):
         """Returns the supervisor of all components."""
@@ -183,7 +183,9 @@
             children=[
                 supervision.Child(name="hosts", run=self.hosts.run),
                 supervision.Child(name="gossip", run=self.gossiper.run),
-                supervision.Child(name="keeper", run=self.keeper.run),
+                supervision.Child(
+                    name="rack_claimer", run=self.rack_claimer.run
+                ),
                 supervision.Child(
                     name="adopter", run=self.coordinator.adopter.run
                 ),
@@ -206,7 +208,7 @@
             failure_domain=self.failure_domain,
             region=self.region,
         )
-        self.appender.append_later(record)
+        self.appender.append_in_background(record)
         while self.own_member() is None:
             await self.tail.changed.wait()
         LOG.info("This member has joined the cell.")
@@ -280,7 +282,7 @@
         for record in found:
             own_claim = isinstance(record, records.Claim) and not record.writer
             if own_claim or isinstance(record, WRITTEN_BY_MEMBER):
-                self.view.note_record(record.member, record.incarnation)
+                self.view.record_log_append(record.member, record.incarnation)
 
     def call_soon(self, function):
         """Calls a function in the next iteration of the event loop."""
@@ -384,12 +386,12 @@
 
     def count_links(self):
         """Returns how many links to workers the owned racks have."""
-        owners = self.keeper.owners.values()
+        owners = self.rack_claimer.owners.values()
         return sum(len(owner.links) for owner in owners)
 
     def own_digests(self):
         """Returns the load digests of the racks that this member owns."""
-        return [owner.digest() for owner in self.keeper.owners.values()]
+        return [owner.digest() for owner in self.rack_claimer.owners.values()]
 
     def headroom_of(self, kind):
         """Returns the slots that a kind leaves free on each worker."""
@@ -421,7 +423,7 @@
             wait_ms: Expected wait on that rack in milliseconds.
         """
         configuration = self.tail.state.configuration
-        return self.routing.rack_with_room(
+        return self.routing.find_redirect_rack(
             own_rack,
             kind,
             wait_ms=wait_ms,
@@ -464,7 +466,7 @@
         Args:
             owner: Owner of the rack in this process.
         """
-        reached = await self.tail.confirm(timeout_s=CONFIRM_TIMEOUT_S)
+        reached = await self.tail.catch_up(timeout_s=CONFIRM_TIMEOUT_S)
         current = self.tail.state.owners.get(owner.name)
         return (
             reached
@@ -475,7 +477,7 @@
 
     def on_superseded(self, owner):
         """Stops owning a rack after a target has seen a newer fence."""
-        self.keeper.retire(owner)
+        self.rack_claimer.retire_owner(owner)
 
     # Recorded requests
 
--- a/packages/cicadafold/src/cicadafold/ledger/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Requests from their acceptance to their one final answer."""
--- a/packages/cicadafold/src/cicadafold/membership/gossip.py
+++ b/packages/cicadafold/src/cicadafold/membership/gossip.py
@@ -1,7 +1,8 @@
-"""Exchanges heartbeats and digests with one random peer a period.
+"""Periodic exchange of heartbeats and rack digests with random peers.
 
-The cost for each member is the same however many there are: one exchange
-begun and about one answered a period.
+The cost for each member does not depend on the number of members: in each
+period it starts one exchange and answers about one. Only peers that are
+silent or may be unreachable get further exchanges.
 """
 
 import asyncio
@@ -16,10 +17,11 @@
 __all__ = ["Gossiper", "PERIOD_S"]
 
 PERIOD_S = 0.6
-ASK_AFTER_S = 2.0
-PROBES_IN_DOUBT = 2
+# Seconds of silence after which a peer is contacted out of turn.
+DIRECT_EXCHANGE_AFTER_S = 2.0
+PROBE_ATTEMPTS = 2
 MAX_DIGESTS = 8
-MAX_PULSES = 32
+MAX_HEARTBEATS = 32
 TIMEOUT_S = 0.5
 
 LOG = logs.get_logger("member")
@@ -29,7 +31,20 @@
 
 
 class Gossiper:
-    """Runs the exchanges of one member."""
+    """Runs the exchanges of one member.
+
+    Attributes:
+        view: This member's ``MembershipView``.
+        resolve: Function that maps an address in the control state to the
+            one to connect to.
+        own_digests: Function that returns the digests of the racks that
+            this member owns.
+        round_order: Names of the members that are still to be contacted
+            in the current round.
+        logged_alive: Names of the members last logged as alive.
+        wake_event: Set to end the current period early.
+        exchanges: Task of the last exchange with each peer, by name.
+    """
 
     def __init__(self, *, view, session, resolve, token, own_digests):
         self.view = view
@@ -37,148 +52,175 @@
         self.resolve = resolve
         self.headers = {"Authorization": f"Bearer {token}"} if token else {}
         self.own_digests = own_digests
-        self.random = random.Random()
-        self.order = []
-        self.alive_names = set()
-        self.woken = asyncio.Event()
+        self.rng = random.Random()
+        self.round_order = []
+        self.logged_alive = set()
+        self.wake_event = asyncio.Event()
         self.exchanges = {}
 
     async def run(self):
-        """Begins an exchange each period, and with silent members.
+        """Starts exchanges with the next and the most silent peer, forever.
 
-        No exchange waits for another: a peer behind a cut link must not
-        keep this member from hearing of the others.
+        These exchanges run as separate tasks, so that a peer that cannot
+        be reached does not delay news from the others.
         """
         while True:
-            self.view.beat()
-            for peer in (self.next_peer(), self.most_silent()):
+            self.view.advance_heartbeat()
+            for peer in (self.next_peer(), self.longest_silent_peer()):
                 if peer is not None:
-                    self.begin_exchange(peer)
-            await self.probe_doubted()
+                    self.start_exchange(peer)
+            await self.run_probes()
             self.log_changes()
             await self.wait()
 
-    def begin_exchange(self, peer):
-        """Begins an exchange unless one with this peer is under way."""
+    def start_exchange(self, peer):
+        """Starts an exchange unless one with this peer is still running."""
         running = self.exchanges.get(peer.name)
         if running is None or running.done():
             task = asyncio.create_task(self.exchange(peer))
             self.exchanges[peer.name] = task
 
     async def wait(self):
-        """Waits for the next period, or until a member is doubted."""
-        period_s = PERIOD_S * self.random.uniform(0.8, 1.2)
+        """Waits about one period, or until a probe is scheduled."""
+        period_s = PERIOD_S * self.rng.uniform(0.8, 1.2)
         try:
             async with asyncio.timeout(period_s):
-                await self.woken.wait()
+                await self.wake_event.wait()
         except TimeoutError:
             pass
-        self.woken.clear()
+        self.wake_event.clear()
 
-    def doubt(self, member):
-        """Probes a member soon, after its link broke."""
-        self.view.doubted.add(member.name)
-        self.woken.set()
+    def schedule_probe(self, member):
+        """Schedules an immediate probe of a member whose link broke."""
+        self.view.members_to_probe.add(member.name)
+        self.wake_event.set()
 
-    async def probe_doubted(self):
-        """Probes the members that may be gone."""
+    async def run_probes(self):
+        """Probes the members that may be unreachable."""
         members = self.view.state().members
-        names, self.view.doubted = self.view.doubted, set()
-        doubted = [members.get(name) for name in sorted(names)]
-        for _ in range(PROBES_IN_DOUBT):
+        names, self.view.members_to_probe = self.view.members_to_probe, set()
+        suspected = [members.get(name) for name in sorted(names)]
+        for _ in range(PROBE_ATTEMPTS):
             await asyncio.gather(
                 *(
                     self.exchange(member)
-                    for member in doubted
+                    for member in suspected
                     if self.is_peer(member) and self.view.is_alive(member)
                 )
             )
 
     def next_peer(self):
-        """Returns the next peer of a shuffled round, or None."""
+        """Returns the next peer of the round; None if the round has ended.
+
+        The next round then has all members in a new random order.
+        """
         members = self.view.state().members
-        while self.order:
-            member = members.get(self.order.pop())
+        while self.round_order:
+            member = members.get(self.round_order.pop())
             if self.is_peer(member):
                 return member
-        self.order = list(members)
-        self.random.shuffle(self.order)
+        self.round_order = list(members)
+        self.rng.shuffle(self.round_order)
         return None
 
-    def most_silent(self):
-        """Returns the live peer that has been silent for the longest.
+    def longest_silent_peer(self):
+        """Returns the live peer with the longest silence, or None.
 
-        It is asked directly before it comes to be suspected.
+        Only peers that have been silent for ``DIRECT_EXCHANGE_AFTER_S``
+        are considered. A direct exchange prevents that a live peer counts
+        as dead only because no relayed heartbeat arrived in time.
         """
         silent = [
             member
             for member in self.view.alive_members()
             if self.is_peer(member)
-            and self.view.silence_s(member) > ASK_AFTER_S
+            and self.view.silence_s(member) > DIRECT_EXCHANGE_AFTER_S
         ]
         return max(silent, key=self.view.silence_s, default=None)
 
     def is_peer(self, member):
-        """Whether an entry is another member that has not left."""
+        """Whether a member entry is another member that has not left."""
         if member is None or member.left:
             return False
         return not self.view.is_self(member)
 
-    def message(self, pulses):
-        """Builds a message; its size has a bound at any size of the cell.
+    def build_message(self, heartbeats):
+        """Builds a message whose size does not grow with the cell.
+
+        If there are too many other heartbeats or recent digests, a random
+        sample of them is sent. All of them still reach every member within
+        a few periods.
 
-        The first pulse is this member's own. Of the others, and of the
-        figures that changed lately, a random few are told, which spread
-        over the members within a few periods.
+        Args:
+            heartbeats: Heartbeats to send. The first one, usually that of
+                this member, is always included.
         """
-        if len(pulses) > MAX_PULSES:
-            pulses = [
-                pulses[0],
-                *self.random.sample(pulses[1:], MAX_PULSES - 1),
+        if len(heartbeats) > MAX_HEARTBEATS:
+            heartbeats = [
+                heartbeats[0],
+                *self.rng.sample(heartbeats[1:], MAX_HEARTBEATS - 1),
             ]
         for digest in self.own_digests():
             self.view.merge_digest(digest)
-        fresh = self.view.fresh_digests()
-        if len(fresh) > MAX_DIGESTS:
-            fresh = self.random.sample(fresh, MAX_DIGESTS)
+        recent = self.view.recent_digests()
+        if len(recent) > MAX_DIGESTS:
+            recent = self.rng.sample(recent, MAX_DIGESTS)
         return messages.Gossip(
-            sender=self.view.name, pulses=pulses, digests=fresh
+            sender=self.view.name, heartbeats=heartbeats, digests=recent
         )
 
     async def exchange(self, peer):
-        """Tells a peer what is known and takes in its answer."""
+        """Sends a message to a peer and merges its reply into the view.
+
+        An answer marks the peer as alive, a refused connection as dead, and
+        other connection errors count as resets. A time-out changes nothing.
+        """
         url = f"http://{self.resolve(peer.address)}/peer/gossip"
         timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
         try:
             async with self.session.post(
                 url,
-                data=encode(self.message(self.view.pulses())),
+                data=encode(self.build_message(self.view.heartbeats())),
                 timeout=timeout,
                 headers=self.headers,
             ) as reply:
                 self.view.merge(decode(await reply.read()))
-                self.view.note_answer(peer)
+                self.view.record_answer(peer)
         except aiohttp.ClientConnectorError as error:
             if isinstance(error.os_error, ConnectionRefusedError):
-                self.view.note_refused(peer)
+                self.view.record_refusal(peer)
         except (TimeoutError, aiohttp.ServerTimeoutError):
             return
         except (aiohttp.ClientError, OSError):
-            self.view.note_reset(peer)
+            self.view.record_reset(peer)
         except msgspec.DecodeError:
-            LOG.warning("%s sent gossip that cannot be read.", peer.name)
+            LOG.warning(
+                "The gossip reply of %s cannot be decoded and is ignored.",
+                peer.name,
+            )
+
+    def handle_message(self, body):
+        """Merges a peer's message into the view and returns the reply.
+
+        Args:
+            body: Encoded message of the peer.
 
-    def answer(self, body):
-        """Takes in a peer's message and returns the answer's bytes."""
+        Returns:
+            The encoded reply, with heartbeats that the peer did not have.
+        """
         gossip = decode(body)
         self.view.merge(gossip)
-        return encode(self.message(self.view.pulses_beyond(gossip)))
+        return encode(self.build_message(self.view.newer_heartbeats(gossip)))
 
     def log_changes(self):
-        """Logs the members that appeared or went."""
+        """Logs the members that became alive or dead since the last call."""
         names = {member.name for member in self.view.alive_members()}
-        for name in sorted(names - self.alive_names):
-            LOG.info("%s is alive.", name)
-        for name in sorted(self.alive_names - names):
-            LOG.warning("%s is gone.", name)
-        self.alive_names = names
+        for name in sorted(names - self.logged_alive):
+            LOG.info("Member %s counts as alive.", name)
+        for name in sorted(self.logged_alive - names):
+            LOG.warning(
+                "Member %s has left or counts as dead: no sign of life within "
+                "the suspicion time, or its address refused connections.",
+                name,
+            )
+        self.logged_alive = names
--- a/packages/cicadafold/src/cicadafold/membership/view.py
+++ b/packages/cicadafold/src/cicadafold/membership/view.py
@@ -1,8 +1,9 @@
-"""A member's view of which members live.
+"""One member's view of which members are alive.
 
-A member counts as dead when its heartbeat counter has not risen for the
-suspicion time, or when its address refused a connection. Both are hints:
-what keeps two owners of a rack apart is the fence at the targets.
+A member counts as dead when it has given no sign of life for the suspicion
+time, or when its address refused a connection. Both signs may be wrong:
+that a rack has only one effective owner is ensured by the fence at the
+targets, not by this view.
 
 References:
     R. van Renesse, Y. Minsky, M. Hayden: A gossip-style failure detection
@@ -15,30 +16,50 @@
 
 __all__ = ["MembershipView", "SUSPICION_S"]
 
+# Seconds without a sign of life after which a member counts as dead.
 SUSPICION_S = 3.0
-FRESH_S = 2.5
-MAX_RESETS = 2
+# Seconds for which a changed digest is passed on to other members.
+DIGEST_FRESH_S = 2.5
+RESETS_UNTIL_REFUSED = 2
 
-Flags = messages.Flags
+HeartbeatFlags = messages.HeartbeatFlags
 
 
 class PeerRecord:
-    """What is known of one incarnation of a member."""
+    """What this process knows about one incarnation of a member.
+
+    Attributes:
+        incarnation: Incarnation of the member.
+        counter: Highest heartbeat counter received; 0 if none was.
+        last_alive_s: Monotonic time of the last sign of life, in seconds.
+        refused_at_s: Monotonic time in seconds at which the member's
+            address refused a connection; None if it counts as reachable.
+        consecutive_resets: Connections reset since the last answer.
+        draining: Whether the member has announced its planned stop.
+    """
 
     def __init__(self, *, incarnation, now_s):
         self.incarnation = incarnation
         self.counter = 0
-        self.advanced_s = now_s
-        self.refused_s = None
-        self.resets = 0
+        self.last_alive_s = now_s
+        self.refused_at_s = None
+        self.consecutive_resets = 0
         self.draining = False
 
 
 class MembershipView:
-    """Liveness of the members that the folded state lists.
+    """Liveness of the members that the control state lists.
 
     Attributes:
-        doubted: Members that another one has found gone; they are probed.
+        state: Function that returns the current control state.
+        counter: Heartbeat counter of this member.
+        draining: Whether this member drains.
+        peers: Records of other members, by name.
+        digests: Newest digest of each rack, by name of the rack.
+        digest_changed_s: Monotonic time in seconds at which the digest of
+            a rack was received, by name of the rack.
+        members_to_probe: Names of members that may be unreachable, because
+            a link to them broke or another member reported it.
     """
 
     def __init__(self, *, name, incarnation, state):
@@ -50,40 +71,40 @@
         self.peers = {}
         self.digests = {}
         self.digest_changed_s = {}
-        self.doubted = set()
+        self.members_to_probe = set()
 
-    def record(self, member):
+    def peer_record(self, member):
         """Returns the record of a member's current incarnation."""
-        found = self.peers.get(member.name)
-        if found is None or found.incarnation != member.incarnation:
-            found = PeerRecord(
+        result = self.peers.get(member.name)
+        if result is None or result.incarnation != member.incarnation:
+            result = PeerRecord(
                 incarnation=member.incarnation, now_s=time.monotonic()
             )
-            self.peers[member.name] = found
-        return found
+            self.peers[member.name] = result
+        return result
 
     def is_self(self, member):
-        """Whether an entry describes this process."""
+        """Whether an entry is this incarnation of this process."""
         return (
             member.name == self.name and member.incarnation == self.incarnation
         )
 
     def is_alive(self, member):
-        """Whether a member of the folded state counts as alive."""
+        """Whether a member of the control state counts as alive."""
         if member is None or member.left:
             return False
         if self.is_self(member):
             return True
-        record = self.record(member)
-        if record.refused_s is not None:
+        record = self.peer_record(member)
+        if record.refused_at_s is not None:
             return False
-        return time.monotonic() - record.advanced_s < SUSPICION_S
+        return time.monotonic() - record.last_alive_s < SUSPICION_S
 
     def is_draining(self, member):
         """Whether a member has announced its planned stop."""
         if self.is_self(member):
             return self.draining
-        return self.record(member).draining
+        return self.peer_record(member).draining
 
     def alive_members(self):
         """Returns the members that count as alive, this one included."""
@@ -96,127 +117,154 @@
             return False
         return self.is_alive(member)
 
-    def note_refused(self, member):
-        """Notes that a member's address refused a connection."""
-        self.record(member).refused_s = time.monotonic()
+    def record_refusal(self, member):
+        """Marks a member as dead after its address refused a connection."""
+        self.peer_record(member).refused_at_s = time.monotonic()
 
-    def note_reset(self, member):
-        """Notes that a new connection to a member was reset.
+    def record_reset(self, member):
+        """Counts a reset connection; marks the member as dead if it repeats.
 
-        A process that is gone behind an address translation shows itself
-        like this; a single reset may be an accident.
+        If a process behind a network address translation has ended, new
+        connections to it are reset instead of refused. A single reset may
+        have another cause.
+        """
+        record = self.peer_record(member)
+        record.consecutive_resets += 1
+        if record.consecutive_resets >= RESETS_UNTIL_REFUSED:
+            self.record_refusal(member)
+
+    def record_answer(self, member):
+        """Marks a member as alive after it has answered an exchange."""
+        record = self.peer_record(member)
+        record.consecutive_resets = 0
+        record.refused_at_s = None
+        record.last_alive_s = time.monotonic()
+
+    def record_log_append(self, name, incarnation):
+        """Records a sign of life: a record that a member has appended.
+
+        Args:
+            name: Name of the member that appended to the control log.
+            incarnation: Incarnation of the member that the record names.
         """
-        record = self.record(member)
-        record.resets += 1
-        if record.resets >= MAX_RESETS:
-            self.note_refused(member)
-
-    def note_answer(self, member):
-        """Notes that a member has answered."""
-        record = self.record(member)
-        record.resets = 0
-        record.refused_s = None
-        record.advanced_s = time.monotonic()
-
-    def note_record(self, name, incarnation):
-        """Notes that a member has just put a record on the log."""
         member = self.state().members.get(name)
         if member is not None and member.incarnation == incarnation:
-            self.record(member).advanced_s = time.monotonic()
+            self.peer_record(member).last_alive_s = time.monotonic()
 
     def silence_s(self, member):
-        """Returns the seconds since a member was last known to live."""
-        return time.monotonic() - self.record(member).advanced_s
+        """Returns the seconds since the last sign of life of a member."""
+        return time.monotonic() - self.peer_record(member).last_alive_s
 
-    def beat(self):
+    def advance_heartbeat(self):
         """Advances this member's own heartbeat counter."""
         self.counter += 1
 
-    def pulses(self):
-        """Returns the heartbeat counters to tell others, our own first."""
-        found = []
+    def heartbeats(self):
+        """Returns the known heartbeats of all members, this member's first."""
+        result = []
         for member in self.state().members.values():
             if self.is_self(member):
-                flags = Flags.DRAINING if self.draining else Flags.NONE
-                found.insert(0, pulse_of(member, self.counter, flags))
+                flags = (
+                    HeartbeatFlags.DRAINING
+                    if self.draining
+                    else HeartbeatFlags.NONE
+                )
+                result.insert(0, build_heartbeat(member, self.counter, flags))
                 continue
-            record = self.record(member)
+            record = self.peer_record(member)
             if record.counter:
-                flags = flags_of(record)
-                found.append(pulse_of(member, record.counter, flags))
-        return found
-
-    def pulses_beyond(self, gossip):
-        """Returns the heartbeat counters that a sender has not seen."""
-        seen = {pulse.joined_at: pulse.counter for pulse in gossip.pulses}
+                flags = flags_for(record)
+                result.append(build_heartbeat(member, record.counter, flags))
+        return result
+
+    def newer_heartbeats(self, gossip):
+        """Returns the heartbeats that are newer than those in a message."""
+        seen = {
+            heartbeat.joined_at: heartbeat.counter
+            for heartbeat in gossip.heartbeats
+        }
         return [
-            pulse
-            for pulse in self.pulses()
-            if pulse.counter > seen.get(pulse.joined_at, 0)
+            heartbeat
+            for heartbeat in self.heartbeats()
+            if heartbeat.counter > seen.get(heartbeat.joined_at, 0)
         ]
 
-    def fresh_digests(self):
-        """Returns the figures that changed a short while ago."""
+    def recent_digests(self):
+        """Returns the digests that changed within ``DIGEST_FRESH_S``."""
         now_s = time.monotonic()
         return [
             digest
             for rack, digest in self.digests.items()
-            if now_s - self.digest_changed_s[rack] < FRESH_S
+            if now_s - self.digest_changed_s[rack] < DIGEST_FRESH_S
         ]
 
     def merge(self, gossip):
-        """Takes in what another member told."""
+        """Merges the heartbeats and digests of a message into this view."""
         members = {m.joined_at: m for m in self.state().members.values()}
-        for pulse in gossip.pulses:
-            member = members.get(pulse.joined_at)
+        for heartbeat in gossip.heartbeats:
+            member = members.get(heartbeat.joined_at)
             if member is not None and not self.is_self(member):
-                self.merge_pulse(member, pulse)
+                self.merge_heartbeat(member, heartbeat)
         for digest in gossip.digests:
             self.merge_digest(digest)
 
-    def merge_pulse(self, member, pulse):
-        """Takes in a heartbeat counter if it is a newer one."""
-        record = self.record(member)
-        if pulse.flags & Flags.GONE and record.refused_s is None:
-            self.doubted.add(member.name)
-        if pulse.counter > record.counter:
-            record.counter = pulse.counter
-            record.advanced_s = time.monotonic()
-            record.draining |= bool(pulse.flags & Flags.DRAINING)
-            self.forgive(record)
-
-    def forgive(self, record):
-        """Counts a member as alive again that had refused a connection.
-
-        Counters from before the refusal still go round for a while, so
-        that only a later one shows that the member lives.
+    def merge_heartbeat(self, member, heartbeat):
+        """Updates the record of a member if a heartbeat is newer.
+
+        A report that the member is unreachable does not mark it as dead;
+        it only causes this process to probe the member itself.
+        """
+        record = self.peer_record(member)
+        if (
+            heartbeat.flags & HeartbeatFlags.UNREACHABLE
+            and record.refused_at_s is None
+        ):
+            self.members_to_probe.add(member.name)
+        if heartbeat.counter > record.counter:
+            record.counter = heartbeat.counter
+            record.last_alive_s = time.monotonic()
+            record.draining |= bool(heartbeat.flags & HeartbeatFlags.DRAINING)
+            self.clear_refusal(record)
+
+    def clear_refusal(self, record):
+        """Marks a member as reachable again once the refusal is old enough.
+
+        Heartbeats that were sent before the refusal are still relayed for
+        a while. Only one that arrives later than the suspicion time after
+        the refusal shows that the member is alive.
         """
-        if record.refused_s is None:
+        if record.refused_at_s is None:
             return
-        if record.advanced_s - record.refused_s > SUSPICION_S:
-            record.refused_s = None
+        if record.last_alive_s - record.refused_at_s > SUSPICION_S:
+            record.refused_at_s = None
 
     def merge_digest(self, digest):
-        """Takes in the figures of a rack if they are newer."""
+        """Stores the digest of a rack if it is newer than the known one."""
         known = self.digests.get(digest.rack)
-        order = (digest.term, digest.serial)
-        if known is None or order > (known.term, known.serial):
+        version = (digest.term, digest.serial)
+        if known is None or version > (known.term, known.serial):
             self.digests[digest.rack] = digest
             self.digest_changed_s[digest.rack] = time.monotonic()
 
 
-def pulse_of(member, counter, flags):
-    """Returns the pulse of a member."""
-    return messages.Pulse(
+def build_heartbeat(member, counter, flags):
+    """Returns the heartbeat to send for a member.
+
+    Args:
+        member: Entry of the member in the control state.
+        counter: Heartbeat counter of the member.
+        flags: Combination of ``HeartbeatFlags``.
+    """
+    return messages.Heartbeat(
         joined_at=member.joined_at, counter=counter, flags=int(flags)
     )
 
 
-def flags_of(record):
-    """Returns the flags of what is known of a member."""
-    flags = Flags.NONE
+def flags_for(record):
+    """Returns the heartbeat flags for the record of a member."""
+    flags = HeartbeatFlags.NONE
     if record.draining:
-        flags |= Flags.DRAINING
-    if record.refused_s is not None:
-        flags |= Flags.GONE
+        flags |= HeartbeatFlags.DRAINING
+    if record.refused_at_s is not None:
+        flags |= HeartbeatFlags.UNREACHABLE
     return flags
--- a/packages/cicadafold/src/cicadafold/peerlink/server.py
+++ b/packages/cicadafold/src/cicadafold/peerlink/server.py
@@ -1,4 +1,4 @@
-"""Called side of the links between peers."""
+"""Server side of the links between peers."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 __all__ = ["FRAME_HANDLERS", "handle_frame", "handles", "serve_link"]
 
-HEARTBEAT_S = 2.0
+HEARTBEAT_PERIOD_S = 2.0
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 
 FRAME_HANDLERS = {}
@@ -19,10 +19,13 @@
 
 
 def handles(frame_type):
-    """Registers the function that handles one type of frame.
+    """Returns a decorator that registers the handler of a type of frame.
 
-    The function takes the rack service, the frame, and a function that
+    The handler takes the rack service, the frame, and a function that
     sends the reply.
+
+    Args:
+        frame_type: Class of the frames that the handler takes.
     """
 
     def register(function):
@@ -32,24 +35,30 @@
     return register
 
 
-class Outbox:
-    """Replies that gather until the next message is written."""
+class ReplyWriter:
+    """Writes queued replies to a socket, several in one message.
+
+    Attributes:
+        socket: WebSocket to the peer.
+        replies: Replies that are queued but not yet written.
+        replies_queued: Set when a reply is queued.
+    """
 
     def __init__(self, *, socket):
         self.socket = socket
         self.replies = []
-        self.arrived = asyncio.Event()
+        self.replies_queued = asyncio.Event()
 
     def send(self, reply):
-        """Queues a reply."""
+        """Queues a reply for the next message."""
         self.replies.append(reply)
-        self.arrived.set()
+        self.replies_queued.set()
 
     async def run(self):
-        """Writes the replies that have gathered."""
+        """Writes queued replies until the connection is closed."""
         while True:
-            await self.arrived.wait()
-            self.arrived.clear()
+            await self.replies_queued.wait()
+            self.replies_queued.clear()
             batch, self.replies = self.replies, []
             try:
                 await self.socket.send_bytes(frames.encode(batch))
@@ -58,11 +67,23 @@
 
 
 def handle_frame(rack_service, frame, send):
-    """Handles one frame; a fault of ours becomes an unknown outcome."""
+    """Passes a frame to its handler.
+
+    If the handler fails, the reply has the status ``UNKNOWN``, because a
+    target may already have started the request.
+
+    Args:
+        rack_service: Service of the racks that this process owns.
+        frame: Frame of the peer.
+        send: Function that sends a reply.
+    """
     try:
         FRAME_HANDLERS[type(frame)](rack_service, frame, send)
     except Exception:
-        LOG.exception("A frame could not be handled.")
+        LOG.exception(
+            "The handler of a frame failed; the reply says that the outcome "
+            "is unknown."
+        )
         status = frames.ReplyStatus.UNKNOWN
         send(frames.Reply(serial=frame.serial, status=status, started=True))
 
@@ -72,20 +93,22 @@
 
     Args:
         request: The HTTP request to upgrade.
-        rack_service: What the frames are handed to.
+        rack_service: Service of the racks that this process owns.
     """
     socket = web.WebSocketResponse(
-        heartbeat=HEARTBEAT_S, compress=False, max_msg_size=MAX_FRAME_BYTES
+        heartbeat=HEARTBEAT_PERIOD_S,
+        compress=False,
+        max_msg_size=MAX_FRAME_BYTES,
     )
     await socket.prepare(request)
-    outbox = Outbox(socket=socket)
-    writer = asyncio.create_task(outbox.run())
+    replies = ReplyWriter(socket=socket)
+    writer_task = asyncio.create_task(replies.run())
     try:
         async for message in socket:
             if message.type is not aiohttp.WSMsgType.BINARY:
                 break
             for frame in frames.decode_calls(message.data):
-                handle_frame(rack_service, frame, outbox.send)
+                handle_frame(rack_service, frame, replies.send)
     finally:
-        writer.cancel()
+        writer_task.cancel()
     return socket
