--- a/packages/cicadafold-standins/src/cicadafold_standins/bench.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/bench.py
@@ -16,7 +16,7 @@
 from cicadafold_standins import results
 from cicadafold_standins import testcell
 
-__all__ = ["Bench", "main"]
+__all__ = ["Benchmark", "main"]
 
 CALLER_PROCESSES = 3
 RELAY_RATE_PER_S = 1500.0
@@ -25,22 +25,22 @@
 HALF_RATE_PER_S = 1000.0
 FULL_DURATION_S = 30.0
 HALF_DURATION_S = 15.0
-REST_DURATION_S = 15.0
+IDLE_DURATION_S = 15.0
 RUN_MS = (1.0, 5.0)
 MAX_RATIO = 2.5
 MAX_DECISION_MS = 5.0
-MAX_REST_CPU_SHARE = 0.017
-MAX_REST_MB = 64.0
-MAX_REST_BYTES_PER_S = 2048.0
+MAX_IDLE_CPU_SHARE = 0.017
+MAX_IDLE_MB = 64.0
+MAX_IDLE_BYTES_PER_S = 2048.0
 WARM_UP_S = 3.0
 
 
-def layout():
+def unproxied_layout():
     """Returns the brief's layout without the proxy's delays."""
     return testcell.Layout(proxied=False)
 
 
-class Bench:
+class Benchmark:
     """One run of the benchmark."""
 
     def __init__(self, *, kind, team):
@@ -49,15 +49,15 @@
         self.cell = None
         self.results = {}
 
-    def say(self, text):
+    def print_progress(self, text):
         """Prints a line of progress."""
         print(text, file=sys.stderr, flush=True)
 
     async def run(self, plan):
         """Runs all parts and returns the results."""
-        self.cell = testcell.Cell(plan=plan, layout=layout())
+        self.cell = testcell.Cell(plan=plan, layout=unproxied_layout())
         async with self.cell:
-            await self.measure_rest()
+            await self.measure_idle()
             await self.measure_relay()
             entries = [e.address for e in self.cell.entries.values()]
             await self.measure_load(
@@ -66,22 +66,22 @@
             await self.measure_load(
                 "full", entries, FULL_RATE_PER_S, FULL_DURATION_S
             )
-        return self.judge()
+        return self.add_target_checks()
 
-    async def measure_rest(self):
+    async def measure_idle(self):
         """Measures what an idle entry host costs."""
-        self.say("at rest")
+        self.print_progress("at rest")
         await asyncio.sleep(WARM_UP_S)
         entries = self.cell.running_entries()
         cpu = [processes.cpu_seconds(e.pid) for e in entries]
         sent = [processes.sent_bytes(e.pid) for e in entries]
-        await asyncio.sleep(REST_DURATION_S)
+        await asyncio.sleep(IDLE_DURATION_S)
         shares = [
-            (processes.cpu_seconds(e.pid) - before) / REST_DURATION_S
+            (processes.cpu_seconds(e.pid) - before) / IDLE_DURATION_S
             for e, before in zip(entries, cpu, strict=True)
         ]
         rates = [
-            (processes.sent_bytes(e.pid) - before) / REST_DURATION_S
+            (processes.sent_bytes(e.pid) - before) / IDLE_DURATION_S
             for e, before in zip(entries, sent, strict=True)
         ]
         self.results["rest"] = {
@@ -94,7 +94,7 @@
 
     async def measure_relay(self):
         """Measures the processor time of the bare relay per request."""
-        self.say("bare relay")
+        self.print_progress("bare relay")
         address = self.cell.port()
         arguments = ["--listen", address]
         for host in self.cell.hosts:
@@ -111,11 +111,11 @@
 
         await self.cell.wait_for(ready, what="the relay is ready")
         before = processes.cpu_seconds(relay.pid)
-        result = await self.offer(
+        result = await self.generate_load(
             [address], RELAY_RATE_PER_S, RELAY_DURATION_S
         )
         used = processes.cpu_seconds(relay.pid) - before
-        done = done_count(result)
+        done = count_done(result)
         self.results["relay"] = {
             "cpu_us_per_request": round(used / done * 1e6, 1),
             "requests_per_core_second": round(done / used),
@@ -130,12 +130,12 @@
 
     async def measure_load(self, name, addresses, rate_per_s, duration_s):
         """Offers load and measures processor time and answer times."""
-        self.say(f"{name} load, {rate_per_s:.0f} requests a second")
+        self.print_progress(f"{name} load, {rate_per_s:.0f} requests a second")
         entries = self.cell.running_entries()
         before = sum(processes.cpu_seconds(e.pid) for e in entries)
-        result = await self.offer(addresses, rate_per_s, duration_s)
+        result = await self.generate_load(addresses, rate_per_s, duration_s)
         used = sum(processes.cpu_seconds(e.pid) for e in entries) - before
-        done = done_count(result)
+        done = count_done(result)
         total = sum(k["requests"] for r in result for k in r["kinds"].values())
         kinds = [k for r in result for k in r["kinds"].values()]
         self.results[name] = {
@@ -152,7 +152,7 @@
             ),
         }
 
-    async def offer(self, addresses, rate_per_s, duration_s):
+    async def generate_load(self, addresses, rate_per_s, duration_s):
         """Offers a rate from several caller processes."""
         path = self.cell.folder / "load.toml"
         path.write_text(
@@ -165,12 +165,12 @@
         seed = int(time.monotonic() * 1000)
         return await asyncio.gather(
             *(
-                self.run_load(path, addresses, seed + index)
+                self.run_load_process(path, addresses, seed + index)
                 for index in range(CALLER_PROCESSES)
             )
         )
 
-    async def run_load(self, path, addresses, seed):
+    async def run_load_process(self, path, addresses, seed):
         """Runs one caller process and returns its result."""
         arguments = [path, "--seed", seed]
         for address in addresses:
@@ -182,27 +182,27 @@
         output, _ = await process.communicate()
         return msgspec.json.decode(output)
 
-    def judge(self):
+    def add_target_checks(self):
         """Adds what was reached to the results."""
         found = self.results
         ratio = (
             found["full"]["cpu_us_per_request"]
             / found["relay"]["cpu_us_per_request"]
         )
-        rest = found["rest"]
+        idle = found["rest"]
         found["ratio_to_relay"] = round(ratio, 3)
         found["reached"] = {
             "nothing_lost_at_full_load": found["full"]["not_done"] == 0,
             "ratio_to_relay": ratio <= MAX_RATIO,
             "decision_p99": found["half"]["decision_p99_ms"] < MAX_DECISION_MS,
-            "rest_cpu": rest["cpu_share_max"] <= MAX_REST_CPU_SHARE,
-            "rest_memory": rest["resident_mb_max"] <= MAX_REST_MB,
-            "rest_bytes": rest["sent_bytes_per_s_max"] <= MAX_REST_BYTES_PER_S,
+            "rest_cpu": idle["cpu_share_max"] <= MAX_IDLE_CPU_SHARE,
+            "rest_memory": idle["resident_mb_max"] <= MAX_IDLE_MB,
+            "rest_bytes": idle["sent_bytes_per_s_max"] <= MAX_IDLE_BYTES_PER_S,
         }
         return found
 
 
-def done_count(results):
+def count_done(results):
     """Returns how many requests were done in all results."""
     return sum(
         kind["outcomes"].get("done", 0)
@@ -216,8 +216,8 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--output", default="")
     arguments = parser.parse_args()
-    bench = Bench(kind="string_gauge", team="builders")
-    found = processes.run(bench.run(cells.CELLS["tezgah"]()))
+    benchmark = Benchmark(kind="string_gauge", team="builders")
+    found = processes.run(benchmark.run(cells.CELLS["tezgah"]()))
     results.write_json(found, arguments.output)
 
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/capacity.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/capacity.py
@@ -19,16 +19,16 @@
 from cicadafold_standins import state_costs
 from cicadafold_standins import testcell
 
-__all__ = ["Slope", "fit", "main"]
+__all__ = ["LinearFit", "fit_line", "main"]
 
 MEMBER_COUNTS = (3, 7, 14, 24)
 WORKER_COUNTS = (24, 240, 1200, 3400)
 TASK_COUNTS = (1000, 10_000, 91_000)
 TEAM_COUNTS = (10, 100, 540)
-REST_S = 8.0
+IDLE_DURATION_S = 8.0
 
 
-class Slope(msgspec.Struct, kw_only=True):
+class LinearFit(msgspec.Struct, kw_only=True):
     """A measured line.
 
     Attributes:
@@ -46,17 +46,17 @@
     base: float
 
 
-def fit(name, against, points):
+def fit_line(name, against, points):
     """Fits a line by least squares.
 
     Examples:
-        >>> fit("a", "b", [(1, 3.0), (2, 5.0)]).slope
+        >>> fit_line("a", "b", [(1, 3.0), (2, 5.0)]).slope
         2.0
     """
     counts = [count for count, _ in points]
     values = [value for _, value in points]
     line = statistics.linear_regression(counts, values)
-    return Slope(
+    return LinearFit(
         name=name,
         against=against,
         points=[(c, round(v, 4)) for c, v in points],
@@ -65,7 +65,7 @@
     )
 
 
-async def measure_members(count):
+async def measure_idle_members(count):
     """Returns processor share, memory and bytes of an idle member."""
     layout = testcell.Layout(
         entries={"d1": count},
@@ -80,9 +80,9 @@
         others = [e for e in cell.running_entries() if e is not owner]
         cpu = [processes.cpu_seconds(e.pid) for e in others]
         sent = [processes.sent_bytes(e.pid) for e in others]
-        began_s = time.monotonic()
-        await asyncio.sleep(REST_S)
-        elapsed_s = time.monotonic() - began_s
+        started_s = time.monotonic()
+        await asyncio.sleep(IDLE_DURATION_S)
+        elapsed_s = time.monotonic() - started_s
         shares = [
             (processes.cpu_seconds(e.pid) - before) / elapsed_s
             for e, before in zip(others, cpu, strict=True)
@@ -103,88 +103,113 @@
     """Measures idle members from 3 to 24."""
     shares, memory, rates = [], [], []
     for count in MEMBER_COUNTS:
-        share, megabytes, rate = await measure_members(count)
+        share, megabytes, rate = await measure_idle_members(count)
         shares.append((count, share * 100))
         memory.append((count, megabytes))
         rates.append((count, rate))
-        say(
+        print_progress(
             f"{count} members: {share:.2%}, {megabytes:.1f} MB, {rate:.0f} B/s"
         )
     return [
-        fit("processor of an idle member, % of a core", "members", shares),
-        fit("memory of an idle member, MB", "members", memory),
-        fit("sent by an idle member, bytes/s", "members", rates),
+        fit_line(
+            "processor of an idle member, % of a core", "members", shares
+        ),
+        fit_line("memory of an idle member, MB", "members", memory),
+        fit_line("sent by an idle member, bytes/s", "members", rates),
     ]
 
 
 async def worker_slopes():
     """Measures routing and owners from 24 to 3,400 workers."""
-    routes, decisions, memory = [], [], []
-    looks, lists, sizes = [], [], []
+    route_times_us, placement_times_us, memory = [], [], []
+    claimer_passes_ms, host_list_times_ms, sizes = [], [], []
     for count in WORKER_COUNTS:
         _, route_us = state_costs.measure_routing(count)
-        per_worker, _, decide_us = await state_costs.measure_owner(
-            count, state_costs.DECISIONS
+        per_worker, _, decide_us = await state_costs.measure_rack_owner(
+            count, state_costs.DECISION_COUNT
+        )
+        claimer_passes_ms.append(
+            (count, await state_costs.measure_rack_claimer(count))
         )
-        looks.append((count, await state_costs.measure_rack_claimer(count)))
         kilobytes, list_ms = state_costs.measure_host_list(count)
-        lists.append((count, list_ms))
+        host_list_times_ms.append((count, list_ms))
         sizes.append((count, kilobytes))
-        routes.append((count, route_us))
-        decisions.append((count, decide_us))
+        route_times_us.append((count, route_us))
+        placement_times_us.append((count, decide_us))
         memory.append((count, per_worker * count / 1e6))
-        say(
+        print_progress(
             f"{count} workers: route p99 {route_us:.0f} us, placement p99 "
             f"{decide_us:.0f} us, {per_worker:.0f} bytes a worker"
         )
     return [
-        fit("choosing and redirecting, p99 us", "workers", routes),
-        fit("placing in a rack, p99 us", "workers", decisions),
-        fit("owner's state of idle workers, MB", "workers", memory),
-        fit(
-            "one pass of the rack claimer over all racks, ms", "workers", looks
+        fit_line(
+            "choosing and redirecting, p99 us", "workers", route_times_us
+        ),
+        fit_line("placing in a rack, p99 us", "workers", placement_times_us),
+        fit_line("owner's state of idle workers, MB", "workers", memory),
+        fit_line(
+            "one pass of the rack claimer over all racks, ms",
+            "workers",
+            claimer_passes_ms,
         ),
-        fit("taking in an equal host list, ms", "workers", lists),
-        fit("host list, KB received", "workers", sizes),
+        fit_line(
+            "taking in an equal host list, ms", "workers", host_list_times_ms
+        ),
+        fit_line("host list, KB received", "workers", sizes),
     ]
 
 
 def task_slopes():
     """Measures requests up to 91,000."""
-    held, ledger, folds, snapshots = [], [], [], []
+    rack_requests_mb, control_state_mb, apply_times_us, snapshot_sizes_mb = (
+        [],
+        [],
+        [],
+        [],
+    )
     for count in TASK_COUNTS:
-        megabytes, fold_us, snapshot = state_costs.measure_ledger(count)
-        held.append((count, state_costs.measure_tasks(count)))
-        ledger.append((count, megabytes))
-        folds.append((count, fold_us))
-        snapshots.append((count, snapshot))
-        say(
-            f"{count} requests: held {held[-1][1]:.1f} MB, ledger "
-            f"{megabytes:.1f} MB, fold {fold_us:.1f} us, snapshot "
-            f"{snapshot:.1f} MB"
+        megabytes, apply_us, snapshot_mb = state_costs.measure_control_state(
+            count
+        )
+        rack_requests_mb.append(
+            (count, state_costs.measure_rack_requests(count))
+        )
+        control_state_mb.append((count, megabytes))
+        apply_times_us.append((count, apply_us))
+        snapshot_sizes_mb.append((count, snapshot_mb))
+        print_progress(
+            f"{count} requests: held {rack_requests_mb[-1][1]:.1f} MB, ledger "
+            f"{megabytes:.1f} MB, fold {apply_us:.1f} us, snapshot "
+            f"{snapshot_mb:.1f} MB"
         )
     return [
-        fit("running requests at owners, MB", "tasks", held),
-        fit("ledger of every member, MB", "open requests", ledger),
-        fit("folding one accept record, us", "open requests", folds),
-        fit("snapshot, MB", "open requests", snapshots),
+        fit_line("running requests at owners, MB", "tasks", rack_requests_mb),
+        fit_line(
+            "ledger of every member, MB", "open requests", control_state_mb
+        ),
+        fit_line(
+            "folding one accept record, us", "open requests", apply_times_us
+        ),
+        fit_line("snapshot, MB", "open requests", snapshot_sizes_mb),
     ]
 
 
 def team_slopes():
     """Measures teams from 10 to 540."""
-    serve, sizes = [], []
+    serve_times_us, sizes = [], []
     for count in TEAM_COUNTS:
-        serve.append((count, state_costs.measure_teams(count)))
+        serve_times_us.append((count, state_costs.measure_fair_queue(count)))
         sizes.append((count, state_costs.measure_configuration(count)))
-        say(f"{count} teams: serve p99 {serve[-1][1]:.0f} us")
+        print_progress(
+            f"{count} teams: serve p99 {serve_times_us[-1][1]:.0f} us"
+        )
     return [
-        fit("serving the fairest team, p99 us", "teams", serve),
-        fit("one configuration record, KB", "teams", sizes),
+        fit_line("serving the fairest team, p99 us", "teams", serve_times_us),
+        fit_line("one configuration record, KB", "teams", sizes),
     ]
 
 
-def renewal_bytes():
+def renewal_slopes():
     """Returns the bytes of renewing one more lease on a worker."""
     sizes = []
     for count in (1, 27):
@@ -194,23 +219,23 @@
             tasks=[f"request-{number:08d}" for number in range(count)],
         )
         sizes.append((count, float(len(msgspec.json.encode(request)))))
-    return [fit("body of a renewal, bytes", "leases on a worker", sizes)]
+    return [fit_line("body of a renewal, bytes", "leases on a worker", sizes)]
 
 
-def say(text):
+def print_progress(text):
     """Prints a line of progress."""
     print(text, file=sys.stderr, flush=True)
 
 
 async def measure():
     """Measures all slopes."""
-    found = team_slopes() + renewal_bytes() + task_slopes()
+    found = team_slopes() + renewal_slopes() + task_slopes()
     found += await worker_slopes()
     found += await member_slopes()
     return found
 
 
-def table_of(slopes):
+def format_table(slopes):
     """Returns the slopes as a table in Markdown."""
     lines = [
         "| what | against | points | slope | base |",
@@ -231,7 +256,7 @@
     parser.add_argument("--output", default="")
     arguments = parser.parse_args()
     slopes = processes.run(measure())
-    results.write_text(table_of(slopes), arguments.output)
+    results.write_text(format_table(slopes), arguments.output)
 
 
 if __name__ == "__main__":
--- a/packages/cicadafold-standins/src/cicadafold_standins/demo.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/demo.py
@@ -33,21 +33,23 @@
     def __init__(self, *, plan, load_s):
         self.plan = plan
         self.load_s = load_s
-        self.began_s = time.monotonic()
+        self.started_s = time.monotonic()
         self.problems = []
-        self.change_s = None
+        self.change_duration_s = None
 
-    def say(self, text):
+    def print_progress(self, text):
         """Prints a line of progress."""
-        elapsed_s = time.monotonic() - self.began_s
+        elapsed_s = time.monotonic() - self.started_s
         print(f"[{elapsed_s:5.1f} s] {text}", flush=True)
 
     async def run(self):
         """Runs the cell and returns the summary."""
         cell = testcell.Cell(plan=self.plan)
-        self.say(f"Starting the cell {self.plan.name}; logs: {cell.folder}")
+        self.print_progress(
+            f"Starting the cell {self.plan.name}; logs: {cell.folder}"
+        )
         async with cell:
-            self.say(
+            self.print_progress(
                 f"{len(cell.entries)} entry hosts and {len(cell.workers)} "
                 f"workers are ready."
             )
@@ -60,9 +62,9 @@
                 )
                 for index, (region, address) in enumerate(cell.callers.items())
             ]
-            self.say(f"Callers offer load for {self.load_s:.0f} s.")
-            faults = asyncio.create_task(self.make_faults(cell))
-            progress = asyncio.create_task(self.show_progress(groups))
+            self.print_progress(f"Callers offer load for {self.load_s:.0f} s.")
+            faults = asyncio.create_task(self.inject_faults(cell))
+            progress = asyncio.create_task(self.print_request_counts(groups))
             shares = (2 / 3, 1 / 3)
             await asyncio.gather(
                 *(
@@ -70,7 +72,9 @@
                     for group, share in zip(groups, shares, strict=True)
                 )
             )
-            self.say("The load has ended. Waiting for the last answers.")
+            self.print_progress(
+                "The load has ended. Waiting for the last answers."
+            )
             await asyncio.gather(*(group.finish() for group in groups))
             await faults
             progress.cancel()
@@ -78,24 +82,24 @@
                 await group.close()
             return await self.summarize(cell, groups)
 
-    async def show_progress(self, groups):
+    async def print_request_counts(self, groups):
         """Prints how far the load has come, every few seconds."""
         while True:
             await asyncio.sleep(2.5)
             records = [r for group in groups for r in group.records]
             ended = sum(r.outcome is not None for r in records)
-            self.say(f"{len(records)} requests, {ended} answered.")
+            self.print_progress(f"{len(records)} requests, {ended} answered.")
 
-    async def make_faults(self, cell):
+    async def inject_faults(self, cell):
         """Kills, drains, changes and removes in the middle of the load."""
         await asyncio.sleep(KILL_AT_S)
         victim = await cell.owner_of("rack-1")
-        self.say(f"Killing {victim.name}, which owns rack-1.")
+        self.print_progress(f"Killing {victim.name}, which owns rack-1.")
         victim.signal(signal.SIGKILL)
         await asyncio.sleep(DRAIN_AT_S - KILL_AT_S)
         drained = await cell.owner_of("rack-2")
         if drained is not None:
-            self.say(f"Draining {drained.name}, which owns rack-2.")
+            self.print_progress(f"Draining {drained.name}, which owns rack-2.")
             drained.signal(signal.SIGTERM)
         await asyncio.sleep(CHANGE_AT_S - DRAIN_AT_S)
         await self.change_configuration(cell)
@@ -106,13 +110,13 @@
         """Applies a change and waits until it is in force everywhere."""
         configuration = self.plan.configuration()
         configuration.headroom_slots = 2
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         status, _ = await cell.apply(
             configuration, change_id="demo-change", base=1
         )
-        self.say(f"Changing the configuration: status {status}.")
+        self.print_progress(f"Changing the configuration: status {status}.")
 
-        async def in_force():
+        async def change_in_force():
             for entry in cell.running_entries():
                 body = await cell.get(entry.address, "/v1/configuration")
                 if body is None:
@@ -122,10 +126,12 @@
                     return False
             return True
 
-        await cell.wait_for(in_force, what="the change is in force")
-        self.change_s = time.monotonic() - began_s
-        self.say(f"Revision 2 is in force after {self.change_s:.2f} s.")
-        if self.change_s > CHANGE_BOUND_S:
+        await cell.wait_for(change_in_force, what="the change is in force")
+        self.change_duration_s = time.monotonic() - started_s
+        self.print_progress(
+            f"Revision 2 is in force after {self.change_duration_s:.2f} s."
+        )
+        if self.change_duration_s > CHANGE_BOUND_S:
             self.problems.append(
                 verdict.Problem(
                     promise=verdict.Promise.CONFIGURATION,
@@ -137,7 +143,7 @@
         """Shows a worker as leaving; later starts count as broken."""
         name = "rack-3-w1"
         lag_s = 0.5
-        self.say(f"{name} is leaving.")
+        self.print_progress(f"{name} is leaving.")
         await cell.mark_leaving(name, lag_s=lag_s)
         await asyncio.sleep(lag_s + LEAVE_BOUND_S)
         worker = cell.workers[name]
@@ -148,12 +154,12 @@
         records = [r for group in groups for r in group.records]
         found = verdict.judge(records, cell.worker_records(), self.plan.kinds)
         found.problems.extend(self.problems)
-        carried, log = await cell.counters()
+        link_bytes, log_counters = await cell.counters()
         burn = await self.read_burn(cell)
         print_table(found)
         slots = sum(host.slots for host in cell.hosts)
         packing = found.slot_seconds / (slots * self.load_s)
-        region_bytes = carried["r1>r2"] + carried["r2>r1"]
+        region_bytes = link_bytes["r1>r2"] + link_bytes["r2>r1"]
         print(
             f"overfills {found.overfills}, starts given twice "
             f"{found.given_twice}, starts on a leaving worker "
@@ -166,8 +172,8 @@
         print(
             f"between regions {region_bytes / 1e6:.2f} MB "
             f"({region_bytes / max(1, len(records)):.0f} bytes a request); "
-            f"log appends {log['appends']}, "
-            f"at most {log['peak_appends_per_s']} in a second"
+            f"log appends {log_counters['appends']}, "
+            f"at most {log_counters['peak_appends_per_s']} in a second"
         )
         print_burn(burn)
         for problem in found.problems[:20]:
@@ -181,9 +187,9 @@
             "overfills": found.overfills,
             "packing": round(packing, 4),
             "region_bytes": region_bytes,
-            "log_appends": log["appends"],
-            "log_append_bytes": log["append_bytes"],
-            "change_in_force_s": round(self.change_s or 0.0, 3),
+            "log_appends": log_counters["appends"],
+            "log_append_bytes": log_counters["append_bytes"],
+            "change_in_force_s": round(self.change_duration_s or 0.0, 3),
             "broken": len(found.problems),
         }
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/experiment.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/experiment.py
@@ -19,7 +19,7 @@
 from cicadafold_standins import testcell
 from cicadafold_standins import verdict
 
-__all__ = ["Comparison", "main"]
+__all__ = ["PolicyComparison", "main"]
 
 DURATION_S = 20.0
 OVERLOAD_S = 10.0
@@ -34,7 +34,7 @@
 MILLISECONDS = 1000.0
 
 
-def mean_s(run_ms):
+def mean_run_s(run_ms):
     """Returns the mean run time in seconds."""
     return sum(run_ms) / 2 / MILLISECONDS
 
@@ -57,7 +57,7 @@
     )
 
 
-def lanes_configuration():
+def priority_lanes_configuration():
     """Returns the configuration with an urgent lane and headroom."""
     return messages.Configuration(
         revision=0,
@@ -75,37 +75,37 @@
     )
 
 
-def first_come_configuration():
+def fifo_configuration():
     """Returns the configuration of first come, first served."""
-    configuration = lanes_configuration()
+    configuration = priority_lanes_configuration()
     for kind in configuration.kinds:
         kind.lane = messages.Lane.patient
     configuration.headroom_slots = 0
     return configuration
 
 
-class Comparison:
+class PolicyComparison:
     """Runs both policies, and an overload, on one cell."""
 
     def __init__(self, *, cell):
         self.cell = cell
         self.slots = sum(host.slots for host in cell.hosts)
         self.revision = 1
-        self.trace = 0
-        self.began_s = 0.0
+        self.load_number = 0
+        self.load_started_s = 0.0
 
     async def run(self):
         """Returns the figures of all runs."""
         found = {}
         for name, configuration in (
-            ("first_come", first_come_configuration()),
-            ("lanes", lanes_configuration()),
+            ("first_come", fifo_configuration()),
+            ("lanes", priority_lanes_configuration()),
         ):
-            await self.configure(configuration, name)
-            found[name] = await self.offer_mix()
-            say(f"{name}: {found[name]}")
-        found["peak"] = await self.offer_burst(1.0)
-        found["overload"] = await self.offer_burst(OVERLOAD_FACTOR)
+            await self.apply_configuration(configuration, name)
+            found[name] = await self.measure_mix()
+            print_progress(f"{name}: {found[name]}")
+        found["peak"] = await self.measure_burst(1.0)
+        found["overload"] = await self.measure_burst(OVERLOAD_FACTOR)
         found["urgent_p99_ratio"] = round(
             found["first_come"]["urgent_answer_p99_ms"]
             / found["lanes"]["urgent_answer_p99_ms"],
@@ -116,7 +116,7 @@
         )
         return found
 
-    async def configure(self, configuration, name):
+    async def apply_configuration(self, configuration, name):
         """Applies a configuration on the current revision."""
         status, body = await self.cell.apply(
             configuration, change_id=f"run-{name}", base=self.revision
@@ -126,18 +126,18 @@
         self.revision += 1
         await asyncio.sleep(1.0)
 
-    async def offer_mix(self):
+    async def measure_mix(self):
         """Offers urgent and batch work up to 90% of the slots.
 
         Both policies get the same arrival and run times.
         """
         busy = self.slots * FULL_LOAD
-        urgent = busy * URGENT_SHARE / mean_s(URGENT_RUN_MS)
-        batch = busy * (1 - URGENT_SHARE) / mean_s(PATIENT_RUN_MS)
-        records = await self.offer(
+        urgent = busy * URGENT_SHARE / mean_run_s(URGENT_RUN_MS)
+        batch = busy * (1 - URGENT_SHARE) / mean_run_s(PATIENT_RUN_MS)
+        records = await self.generate_load(
             [
-                mix("urgent", urgent, URGENT_RUN_MS),
-                mix("batch", batch, PATIENT_RUN_MS),
+                make_mix_entry("urgent", urgent, URGENT_RUN_MS),
+                make_mix_entry("batch", batch, PATIENT_RUN_MS),
             ],
             DURATION_S,
         )
@@ -146,7 +146,7 @@
             max(0.0, run.ended_s - run.started_s)
             for found in self.cell.worker_records().values()
             for run in found
-            if run.started_s >= self.began_s
+            if run.started_s >= self.load_started_s
         )
         return {
             "urgent_requests": result.kinds["urgent"].requests,
@@ -158,11 +158,11 @@
             "slots_in_use": round(slot_s / (self.slots * DURATION_S), 3),
         }
 
-    async def offer_burst(self, factor):
+    async def measure_burst(self, factor):
         """Offers urgent work of a multiple of the capacity."""
-        rate = self.slots / mean_s(OVERLOAD_RUN_MS) * factor * FULL_LOAD
-        records = await self.offer(
-            [mix("burst", rate, OVERLOAD_RUN_MS)], OVERLOAD_S
+        rate = self.slots / mean_run_s(OVERLOAD_RUN_MS) * factor * FULL_LOAD
+        records = await self.generate_load(
+            [make_mix_entry("burst", rate, OVERLOAD_RUN_MS)], OVERLOAD_S
         )
         done = [r for r in records if r.outcome is verdict.Outcome.done]
         attempts = sum(r.attempts for r in records)
@@ -175,21 +175,21 @@
             .outcomes,
         }
 
-    async def offer(self, mixes, duration_s):
+    async def generate_load(self, mixes, duration_s):
         """Offers a mix from both regions, by the size of their racks."""
-        self.trace += 1
-        self.began_s = time.monotonic()
+        self.load_number += 1
+        self.load_started_s = time.monotonic()
         shares = {"r1": 2 / 3, "r2": 1 / 3}
         found = await asyncio.gather(
             *(
-                load.offer(
+                load.generate_load(
                     load.LoadFile(
                         seed=SEED + index,
-                        label=f"t{self.trace}-",
+                        label=f"t{self.load_number}-",
                         duration_s=duration_s,
                         patience_s=1.0,
                         mix=[
-                            mix(
+                            make_mix_entry(
                                 m.kind, m.rate_per_s * shares[region], m.run_ms
                             )
                             for m in mixes
@@ -208,24 +208,26 @@
         return [record for group in found for record in group]
 
 
-def mix(kind, rate_per_s, run_ms):
+def make_mix_entry(kind, rate_per_s, run_ms):
     """Returns one kind of a mix."""
-    return load.Mix(kind=kind, team="t", rate_per_s=rate_per_s, run_ms=run_ms)
+    return load.MixEntry(
+        kind=kind, team="t", rate_per_s=rate_per_s, run_ms=run_ms
+    )
 
 
-def say(text):
+def print_progress(text):
     """Prints a line of progress."""
     print(text, file=sys.stderr, flush=True)
 
 
-async def compare():
+async def run_comparison():
     """Runs the comparison on the small cell."""
     plan = cells.CELLS["tezgah"]()
     layout = prove.small_layout()
     layout.proxied = False
     cell = testcell.Cell(plan=plan, layout=layout)
     async with cell:
-        return await Comparison(cell=cell).run()
+        return await PolicyComparison(cell=cell).run()
 
 
 def main():
@@ -233,7 +235,7 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--output", default="")
     arguments = parser.parse_args()
-    found = processes.run(compare())
+    found = processes.run(run_comparison())
     results.write_json(found, arguments.output)
 
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/faults.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/faults.py
@@ -119,19 +119,19 @@
 @fault("cut-domains")
 async def cut_domains(context):
     """Cuts all connections between two failure domains."""
-    await hold_links(context, proxy.LinkMode.CUT)
+    await hold_links(context, proxy.LinkMode.RESET)
 
 
 @fault("silence-domains")
 async def silence_domains(context):
     """Drops everything between two failure domains without a reset."""
-    await hold_links(context, proxy.LinkMode.SILENT)
+    await hold_links(context, proxy.LinkMode.BLACKHOLE)
 
 
 @fault("silence-connections")
 async def silence_connections(context):
     """Silences open connections for good; new ones work."""
-    await hold_links(context, proxy.LinkMode.SILENCE_EXISTING)
+    await hold_links(context, proxy.LinkMode.BLACKHOLE_EXISTING)
 
 
 async def hold_links(context, mode):
@@ -143,7 +143,7 @@
         await cell.set_link_mode(name, mode)
     await asyncio.sleep(HOLD_S)
     for name in names:
-        await cell.set_link_mode(name, proxy.LinkMode.OPEN)
+        await cell.set_link_mode(name, proxy.LinkMode.FORWARD)
 
 
 @fault("cut-regions")
@@ -157,10 +157,10 @@
         if regions[one] != regions[other]
     ]
     for name in pairs:
-        await context.cell.set_link_mode(name, proxy.LinkMode.SILENT)
+        await context.cell.set_link_mode(name, proxy.LinkMode.BLACKHOLE)
     await asyncio.sleep(FREEZE_S)
     for name in pairs:
-        await context.cell.set_link_mode(name, proxy.LinkMode.OPEN)
+        await context.cell.set_link_mode(name, proxy.LinkMode.FORWARD)
 
 
 @fault("log-down")
--- a/packages/cicadafold-standins/src/cicadafold_standins/load.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/load.py
@@ -29,7 +29,7 @@
 from cicadafold_standins import cells
 from cicadafold_standins import verdict
 
-__all__ = ["LoadFile", "LoadResult", "Mix", "offer", "summarize"]
+__all__ = ["LoadFile", "LoadResult", "MixEntry", "generate_load", "summarize"]
 
 LOWEST_US = 1
 HIGHEST_US = 600_000_000
@@ -38,7 +38,7 @@
 MILLISECONDS = 1000
 
 
-class Mix(msgspec.Struct, kw_only=True):
+class MixEntry(msgspec.Struct, kw_only=True):
     """One kind of the mix."""
 
     kind: str
@@ -50,7 +50,7 @@
 class LoadFile(msgspec.Struct, kw_only=True):
     """A load file."""
 
-    mix: list[Mix]
+    mix: list[MixEntry]
     seed: int = 1
     duration_s: float = 10.0
     patience_s: float = 10.0
@@ -117,7 +117,7 @@
     return LoadResult(duration_s=duration_s, kinds=kinds)
 
 
-def plan_of(load_file):
+def make_plan(load_file):
     """Returns a plan that holds the mix of a load file."""
     plan = cells.CELLS["tezgah"]()
     plan.loads = {
@@ -131,7 +131,7 @@
     return plan
 
 
-async def offer(load_file, addresses, region):
+async def generate_load(load_file, addresses, region):
     """Offers a load to addresses in turn and returns the records.
 
     Args:
@@ -139,7 +139,7 @@
         addresses: Entry hosts, or one balancer.
         region: Region of the callers.
     """
-    plan = plan_of(load_file)
+    plan = make_plan(load_file)
     groups = [
         callers.Callers(
             address=address,
@@ -175,7 +175,9 @@
         load_file = msgspec.convert(tomllib.load(source), type=LoadFile)
     if arguments.seed is not None:
         load_file.seed = arguments.seed
-    records = uvloop.run(offer(load_file, arguments.address, arguments.region))
+    records = uvloop.run(
+        generate_load(load_file, arguments.address, arguments.region)
+    )
     result = summarize(records, load_file.duration_s)
     print(msgspec.json.encode(result).decode())
     lost = sum(r.outcome is None for r in records)
--- a/packages/cicadafold-standins/src/cicadafold_standins/naive.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/naive.py
@@ -28,11 +28,11 @@
 
 ANSWER_TIMEOUT_S = 0.5
 # Share of the tasks that go to the first few workers, and how many these are.
-CROWDED_SHARE = 0.7
-CROWDED_HOSTS = 3
+HOTSPOT_SHARE = 0.7
+HOTSPOT_HOSTS = 3
 MAX_TRIES = 3
 LEASE_MS = 60_000
-NO_FENCE = 1 << 40
+SHARED_FENCE = 1 << 40
 MILLISECONDS = 1000
 
 
@@ -48,14 +48,14 @@
         )
         self.session = None
         self.hosts = []
-        self.waiting = collections.defaultdict(collections.deque)
-        self.random = random.Random(self.name)
+        self.pending_results = collections.defaultdict(collections.deque)
+        self.rng = random.Random(self.name)
 
     def resolve(self, address):
         """Returns the address to use for an announced one."""
         return self.routes.get(address, address)
 
-    async def begin(self, app):
+    async def load_hosts(self, app):
         """Reads the list of workers once, and keeps it."""
         self.session = aiohttp.ClientSession()
         source = http_adapters.HttpHostSource(
@@ -76,71 +76,73 @@
 
     async def submit(self, request):
         """Starts a request on random workers."""
-        asked = await serving.read_json(request, messages.SubmitRequest)
+        submission = await serving.read_json(request, messages.SubmitRequest)
         kinds = {kind.name: kind for kind in self.configuration.kinds}
-        kind = kinds[asked.kind]
+        kind = kinds[submission.kind]
         results = await asyncio.gather(
             *(
-                self.run_task(asked, kind, self.task_id(asked, kind, index))
+                self.run_task(
+                    submission, kind, self.task_id(submission, kind, index)
+                )
                 for index in range(kind.tasks)
             )
         )
         if any(result is None for result in results):
-            return not_run()
+            return not_run_response()
         answer = messages.Answer(
-            request_id=asked.request_id,
+            request_id=submission.request_id,
             outcome=messages.Outcome.done,
             result=",".join(results),
         )
         return serving.json_response(answer)
 
-    def task_id(self, asked, kind, index):
+    def task_id(self, submission, kind, index):
         """Returns the id of a task."""
         if kind.tasks == 1:
-            return asked.request_id
-        return f"{asked.request_id}~{index}"
+            return submission.request_id
+        return f"{submission.request_id}~{index}"
 
-    async def run_task(self, asked, kind, task_id):
+    async def run_task(self, submission, kind, task_id):
         """Tries a task on up to three workers."""
         for _ in range(MAX_TRIES):
-            host = self.crowded_host()
+            host = self.choose_host()
             try:
                 async with asyncio.timeout(ANSWER_TIMEOUT_S):
-                    return await self.start(host, asked, kind, task_id)
+                    return await self.start(host, submission, kind, task_id)
             except (exception.CicadafoldError, TimeoutError):
                 continue
         return None
 
-    def crowded_host(self):
+    def choose_host(self):
         """Returns a random worker, most times one of the first few.
 
         Packing without counting fills workers over in every round; purely
         random choice did so a few times in most rounds, and not in all.
         """
-        crowded = self.random.random() < CROWDED_SHARE
-        return self.random.choice(
-            self.hosts[:CROWDED_HOSTS] if crowded else self.hosts
+        use_hotspot = self.rng.random() < HOTSPOT_SHARE
+        return self.rng.choice(
+            self.hosts[:HOTSPOT_HOSTS] if use_hotspot else self.hosts
         )
 
-    async def start(self, host, asked, kind, task_id):
+    async def start(self, host, submission, kind, task_id):
         """Starts a task on one worker and returns its result."""
         client = self.client(host)
-        inventory = await client.fence(NO_FENCE)
+        inventory = await client.fence(SHARED_FENCE)
         future = asyncio.get_running_loop().create_future()
-        self.waiting[host.name].append(future)
+        self.pending_results[host.name].append(future)
         reply = await client.start(
             platform.StartTask(
                 task_id=task_id,
                 epoch=inventory.epoch,
-                fence=NO_FENCE,
+                fence=SHARED_FENCE,
                 start_by_ms=inventory.now_ms + LEASE_MS,
                 lease_until_ms=inventory.now_ms + LEASE_MS,
                 cores=kind.cores,
                 memory_mb=kind.memory_mb,
-                payload=asked.payload,
+                payload=submission.payload,
             )
         )
-        oldest = self.waiting[host.name].popleft()
+        oldest = self.pending_results[host.name].popleft()
         if not oldest.done():
             oldest.set_result(reply.tasks[0].result)
         return await future
@@ -180,7 +182,7 @@
         return serving.json_response(cell)
 
 
-def not_run():
+def not_run_response():
     """Builds an answer that may be untrue."""
     reply = exception.Overloaded(
         message="No worker answered in time.",
@@ -199,7 +201,7 @@
     """Runs the naive scheduler until it is stopped at once."""
     naive = NaiveScheduler(settings=settings)
     app = web.Application()
-    app.on_startup.append(naive.begin)
+    app.on_startup.append(naive.load_hosts)
     app.router.add_post("/v1/requests", naive.submit)
     app.router.add_post("/v1/configuration", naive.apply)
     app.router.add_get("/v1/configuration", naive.show)
--- a/packages/cicadafold-standins/src/cicadafold_standins/outage.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/outage.py
@@ -28,13 +28,13 @@
         duration_s=duration_s,
         patience_s=2.0,
         mix=[
-            load.Mix(
+            load.MixEntry(
                 kind="string_gauge",
                 team="builders",
                 rate_per_s=URGENT_PER_S,
                 run_ms=(3.0, 25.0),
             ),
-            load.Mix(
+            load.MixEntry(
                 kind="cutting_sheet",
                 team="schools",
                 rate_per_s=DURABLE_PER_S,
@@ -47,7 +47,9 @@
 async def offer(cell, label, duration_s):
     """Offers the load to all entry hosts of the first region."""
     addresses = [e.address for e in cell.running_entries() if e.region == "r1"]
-    records = await load.offer(load_file(label, duration_s), addresses, "r1")
+    records = await load.generate_load(
+        load_file(label, duration_s), addresses, "r1"
+    )
     return load.summarize(records, duration_s)
 
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/proxy.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/proxy.py
@@ -41,10 +41,10 @@
 class LinkMode(enum.Enum):
     """What a link does with connections and data."""
 
-    OPEN = "open"
-    CUT = "cut"
-    SILENT = "silent"
-    SILENCE_EXISTING = "silence_existing"
+    FORWARD = "open"
+    RESET = "cut"
+    BLACKHOLE = "silent"
+    BLACKHOLE_EXISTING = "silence_existing"
 
 
 class PoolSettings(msgspec.Struct, kw_only=True):
@@ -98,18 +98,18 @@
     """Bandwidth that connections share in one direction."""
 
     def __init__(self, *, settings):
-        self.rate = settings.bandwidth_bits_per_s
+        self.bits_per_s = settings.bandwidth_bits_per_s
         self.bytes_carried = 0
-        self.busy_until = 0.0
+        self.busy_until_s = 0.0
 
-    def leave_time(self, size, now):
+    def schedule_transmission(self, size, now_s):
         """Returns when the last bit of a chunk has left."""
         self.bytes_carried += size
-        if not self.rate:
-            return now
-        begin = max(now, self.busy_until)
-        self.busy_until = begin + size * BITS_PER_BYTE / self.rate
-        return self.busy_until
+        if not self.bits_per_s:
+            return now_s
+        start_s = max(now_s, self.busy_until_s)
+        self.busy_until_s = start_s + size * BITS_PER_BYTE / self.bits_per_s
+        return self.busy_until_s
 
 
 class Link:
@@ -119,20 +119,20 @@
         self.delay_s = settings.delay_ms / MILLISECONDS
         self.up = pools[settings.up]
         self.down = pools[settings.down]
-        self.mode = LinkMode.OPEN
-        self.ends = set()
+        self.mode = LinkMode.FORWARD
+        self.connections = set()
 
     def set_mode(self, mode):
         """Applies a mode to this link and its open connections."""
         self.mode = mode
-        for end in list(self.ends):
-            if mode is LinkMode.CUT:
-                end.abort()
-            elif mode is not LinkMode.OPEN:
-                end.silent = True
+        for connection in list(self.connections):
+            if mode is LinkMode.RESET:
+                connection.abort()
+            elif mode is not LinkMode.FORWARD:
+                connection.discarding = True
 
 
-class End(asyncio.Protocol):
+class ProxyConnection(asyncio.Protocol):
     """One side of a forwarded connection."""
 
     def __init__(self, *, link, pool):
@@ -140,55 +140,57 @@
         self.pool = pool
         self.peer = None
         self.transport = None
-        self.silent = False
+        self.discarding = False
         self.aborted = False
         self.pending = collections.deque()
         self.timer = None
-        self.early = []
+        self.early_data = []
         self.loop = asyncio.get_running_loop()
 
     def connection_made(self, transport):
         """Registers the connection with its link."""
         self.transport = transport
-        self.link.ends.add(self)
+        self.link.connections.add(self)
         if self.aborted:
             transport.abort()
 
     def data_received(self, data):
         """Forwards data to the other side after the link's delay."""
-        if self.silent or self.link.mode is LinkMode.SILENT:
+        if self.discarding or self.link.mode is LinkMode.BLACKHOLE:
             return
         if self.peer is None:
-            self.early.append(data)
+            self.early_data.append(data)
         else:
             self.forward(data)
 
     def forward(self, data):
         """Queues data, or the end of the stream, for delivery."""
-        now = self.loop.time()
+        now_s = self.loop.time()
         size = 0 if data is None else len(data)
-        due = self.pool.leave_time(size, now) + self.link.delay_s
+        due_s = (
+            self.pool.schedule_transmission(size, now_s) + self.link.delay_s
+        )
         peer = self.peer
-        if due <= now and not peer.pending:
+        if due_s <= now_s and not peer.pending:
             peer.deliver(data)
             return
-        peer.pending.append((due, data))
+        peer.pending.append((due_s, data))
         if peer.timer is None:
-            peer.timer = self.loop.call_at(due, peer.deliver_due)
+            peer.timer = self.loop.call_at(due_s, peer.deliver_due)
 
     def deliver_due(self):
         """Delivers the chunks whose time has come."""
         self.timer = None
-        now = self.loop.time()
-        while self.pending and self.pending[0][0] <= now:
+        now_s = self.loop.time()
+        while self.pending and self.pending[0][0] <= now_s:
             self.deliver(self.pending.popleft()[1])
         if self.pending:
-            due = self.pending[0][0]
-            self.timer = self.loop.call_at(due, self.deliver_due)
+            due_s = self.pending[0][0]
+            self.timer = self.loop.call_at(due_s, self.deliver_due)
 
     def deliver(self, data):
         """Writes a chunk; None closes the connection."""
-        if self.silent or self.transport.is_closing():
+        if self.discarding or self.transport.is_closing():
             return
         if data is None:
             self.transport.close()
@@ -197,8 +199,8 @@
 
     def connection_lost(self, error):
         """Closes the other side unless the link hides it."""
-        self.link.ends.discard(self)
-        hidden = self.silent or self.link.mode is LinkMode.SILENT
+        self.link.connections.discard(self)
+        hidden = self.discarding or self.link.mode is LinkMode.BLACKHOLE
         if self.peer is not None and not hidden:
             self.forward(None)
 
@@ -209,58 +211,58 @@
             self.transport.abort()
 
 
-class Forwarder:
+class RouteListener:
     """Accepts the connections of one route."""
 
     def __init__(self, *, route, link):
         self.route = route
         self.link = link
         self.healthy = list(route.destinations)
-        self.turn = 0
+        self.next_index = 0
 
-    def choose(self):
+    def next_destination(self):
         """Returns the next healthy destination, or None."""
         if not self.healthy:
             return None
-        self.turn += 1
-        return self.healthy[self.turn % len(self.healthy)]
+        self.next_index += 1
+        return self.healthy[self.next_index % len(self.healthy)]
 
     def accept(self):
         """Creates the near end of a new connection."""
-        near = End(link=self.link, pool=self.link.up)
-        asyncio.get_running_loop().create_task(self.connect(near))
-        return near
+        downstream = ProxyConnection(link=self.link, pool=self.link.up)
+        asyncio.get_running_loop().create_task(self.connect(downstream))
+        return downstream
 
-    async def connect(self, near):
+    async def connect(self, downstream):
         """Connects the far end of a new connection."""
-        if self.link.mode is LinkMode.CUT:
-            near.abort()
+        if self.link.mode is LinkMode.RESET:
+            downstream.abort()
             return
-        if self.link.mode is LinkMode.SILENT:
-            near.silent = True
+        if self.link.mode is LinkMode.BLACKHOLE:
+            downstream.discarding = True
             return
-        destination = self.choose()
+        destination = self.next_destination()
         if destination is None:
-            near.abort()
+            downstream.abort()
             return
         host, _, port = destination.rpartition(":")
         loop = asyncio.get_running_loop()
         try:
-            _, far = await loop.create_connection(
-                lambda: End(link=self.link, pool=self.link.down),
+            _, upstream = await loop.create_connection(
+                lambda: ProxyConnection(link=self.link, pool=self.link.down),
                 host,
                 int(port),
             )
         except OSError:
-            near.abort()
+            downstream.abort()
             return
-        far.peer = near
-        near.peer = far
-        for data in near.early:
-            near.forward(data)
-        near.early.clear()
-        if near.transport.is_closing():
-            far.transport.close()
+        upstream.peer = downstream
+        downstream.peer = upstream
+        for data in downstream.early_data:
+            downstream.forward(data)
+        downstream.early_data.clear()
+        if downstream.transport.is_closing():
+            upstream.transport.close()
 
     async def watch_health(self):
         """Keeps the list of healthy destinations."""
@@ -289,10 +291,10 @@
     """Builds the control interface."""
 
     async def set_faults(request):
-        asked = await serving.read_json(request, FaultRequest)
+        fault = await serving.read_json(request, FaultRequest)
         for name, link in links.items():
-            if name.startswith(asked.prefix):
-                link.set_mode(asked.mode)
+            if name.startswith(fault.prefix):
+                link.set_mode(fault.mode)
         return web.Response()
 
     async def counters(request):
@@ -312,13 +314,11 @@
     links = {s.name: Link(settings=s, pools=pools) for s in settings.links}
     tasks = []
     for route in settings.routes:
-        forwarder = Forwarder(route=route, link=links[route.link])
+        listener = RouteListener(route=route, link=links[route.link])
         host, _, port = route.listen.rpartition(":")
-        await loop.create_server(
-            forwarder.accept, host, int(port), backlog=512
-        )
+        await loop.create_server(listener.accept, host, int(port), backlog=512)
         if route.balance:
-            tasks.append(loop.create_task(forwarder.watch_health()))
+            tasks.append(loop.create_task(listener.watch_health()))
     runner = web.AppRunner(await control_app(links, pools), access_log=None)
     await runner.setup()
     host, _, port = settings.control.rpartition(":")
--- a/packages/cicadafold-standins/src/cicadafold_standins/results.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/results.py
@@ -21,7 +21,7 @@
     print(text)
 
 
-def write_json(found, output):
+def write_json(results, output):
     """Prints results as indented JSON, and writes them if asked to."""
-    encoded = msgspec.json.format(msgspec.json.encode(found), indent=2)
+    encoded = msgspec.json.format(msgspec.json.encode(results), indent=2)
     write_text(encoded.decode(), output)
--- a/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
@@ -26,16 +26,16 @@
     "measure_configuration",
     "measure_host_list",
     "measure_rack_claimer",
-    "measure_ledger",
-    "measure_owner",
+    "measure_control_state",
+    "measure_rack_owner",
     "measure_routing",
-    "measure_tasks",
-    "measure_teams",
+    "measure_rack_requests",
+    "measure_fair_queue",
 ]
 
 WORKERS_PER_RACK = 8
 ACCELERATORS = 7500
-DECISIONS = 2000
+DECISION_COUNT = 2000
 MICROSECONDS = 1e6
 
 
@@ -53,7 +53,7 @@
     return hosts
 
 
-def host_table(hosts):
+def make_host_table(hosts):
     """Returns a host table that holds a fixed list."""
     table = host_tables.HostTable(source=None, recorded=dict)
     table.listed = hosts
@@ -63,7 +63,7 @@
 
 def measure_routing(count):
     """Returns the microseconds of choosing a home rack, p50 and p99."""
-    table = host_table(make_hosts(count))
+    table = make_host_table(make_hosts(count))
     state = control_state.ControlState()
     view = membership_view.MembershipView(
         name="m", incarnation="i", state=lambda: state
@@ -84,13 +84,13 @@
     kind = memory.make_kind()
     for number in range(routing.REQUEST_BUCKETS * 3):
         next(made.candidates(f"warm-{number}", "r1", kind, 0))
-    times = []
-    for number in range(DECISIONS):
-        began = time.perf_counter()
+    durations_us = []
+    for number in range(DECISION_COUNT):
+        started = time.perf_counter()
         rack = next(made.candidates(f"q{number}", "r1", kind, 0))
         made.find_redirect_rack(rack, kind, wait_ms=0, price_ms=1, headroom=0)
-        times.append((time.perf_counter() - began) * MICROSECONDS)
-    return percentile(times, 0.5), percentile(times, 0.99)
+        durations_us.append((time.perf_counter() - started) * MICROSECONDS)
+    return percentile(durations_us, 0.5), percentile(durations_us, 0.99)
 
 
 def percentile(values, share):
@@ -98,7 +98,7 @@
     return sorted(values)[int(share * (len(values) - 1))]
 
 
-async def measure_owner(count, tasks):
+async def measure_rack_owner(count, tasks):
     """Returns memory and decision time of an owner of workers.
 
     Returns:
@@ -128,12 +128,12 @@
         await asyncio.sleep(0.05)
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    times = []
+    durations_us = []
     for number in range(tasks):
         owner = owners[number % len(owners)]
-        began = time.perf_counter()
-        owner.submit(dispatch(owner.name, number), ignore)
-        times.append((time.perf_counter() - began) * MICROSECONDS)
+        started = time.perf_counter()
+        owner.submit(make_dispatch(owner.name, number), discard_reply)
+        durations_us.append((time.perf_counter() - started) * MICROSECONDS)
         if number % 500 == 0:
             await asyncio.sleep(0)
     for owner in owners:
@@ -143,14 +143,14 @@
     await asyncio.sleep(0.1)
     return (
         (after - before) / count,
-        percentile(times, 0.5),
-        percentile(times, 0.99),
+        percentile(durations_us, 0.5),
+        percentile(durations_us, 0.99),
     )
 
 
 async def measure_rack_claimer(count):
     """Returns the milliseconds of one look at all racks."""
-    table = host_table(make_hosts(count))
+    table = make_host_table(make_hosts(count))
     state = control_state.ControlState()
     view = membership_view.MembershipView(
         name="m0", incarnation="i", state=lambda: state
@@ -178,31 +178,31 @@
         tail=types.SimpleNamespace(state=state),
     )
     made = rack_claimer.RackClaimer(node=node)
-    began = time.process_time()
+    started = time.process_time()
     for _ in range(20):
         made.sync_owners()
         await made.claim_unowned_racks()
         await made.hand_over()
-    return (time.process_time() - began) / 20 * 1000
+    return (time.process_time() - started) / 20 * 1000
 
 
 def measure_host_list(count):
     """Returns kilobytes, and milliseconds of taking in an equal list."""
     hosts = make_hosts(count)
     body = msgspec.json.encode(platform.HostList(hosts=hosts))
-    table = host_table(hosts)
-    began = time.process_time()
+    table = make_host_table(hosts)
+    started = time.process_time()
     table.listed = msgspec.json.decode(body, type=platform.HostList).hosts
     table.rebuild()
-    used = time.process_time() - began
+    used = time.process_time() - started
     return len(body) / 1e3, used * 1000
 
 
-def ignore(reply):
+def discard_reply(reply):
     """Takes a reply and does nothing."""
 
 
-def dispatch(rack, number):
+def make_dispatch(rack, number):
     """Returns a dispatch of an urgent task."""
     return frames.Dispatch(
         serial=1,
@@ -220,29 +220,29 @@
     )
 
 
-def measure_tasks(count):
+def measure_rack_requests(count):
     """Returns the megabytes of running requests at their owner."""
     kind = memory.make_kind()
     tracemalloc.start()
-    works = {}
+    requests = {}
     for number in range(count):
-        work = rack_requests.RackRequest(
+        request = rack_requests.RackRequest(
             request_id=f"request-{number}",
             kind=kind,
             team="t",
             payload="x" * 64,
             deadline_ms=1.0,
         )
-        work.tasks[work.request_id] = rack_requests.TargetTask(
-            task_id=work.request_id, link=None, size=None, on_end=None
+        request.tasks[request.request_id] = rack_requests.TargetTask(
+            task_id=request.request_id, link=None, size=None, on_end=None
         )
-        works[work.request_id] = work
+        requests[request.request_id] = request
     megabytes = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     return megabytes
 
 
-def measure_ledger(count):
+def measure_control_state(count):
     """Returns megabytes and fold time of recorded requests."""
     state = control_state.ControlState()
     batches = []
@@ -260,20 +260,20 @@
         )
         batches.append(records.encode_entry([accept]))
     tracemalloc.start()
-    began = time.process_time()
+    started = time.process_time()
     for offset, body in enumerate(batches, start=1):
         entry = platform.LogEntry(
             offset=offset, at_ms=offset, body=msgspec.Raw(body)
         )
         replay.apply_entry(state, entry)
-    used = time.process_time() - began
+    used = time.process_time() - started
     megabytes = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     snapshot = len(msgspec.json.encode(state)) / 1e6
     return megabytes, used / count * MICROSECONDS, snapshot
 
 
-def measure_teams(count):
+def measure_fair_queue(count):
     """Returns the microseconds of serving the fairest team, p99."""
     kind = memory.make_kind(lane=messages.Lane.patient)
     queue = request_queue.RequestQueue()
@@ -287,14 +287,14 @@
                 deadline_ms=1.0,
             )
         )
-    times = []
-    for _ in range(min(DECISIONS, count * 3)):
-        began = time.perf_counter()
-        work = queue.peek_patient(lambda team: True)
-        queue.remove(work)
-        queue.charge_team(work, cost=1.0, weight=1)
-        times.append((time.perf_counter() - began) * MICROSECONDS)
-    return percentile(times, 0.99)
+    durations_us = []
+    for _ in range(min(DECISION_COUNT, count * 3)):
+        started = time.perf_counter()
+        request = queue.peek_patient(lambda team: True)
+        queue.remove(request)
+        queue.charge_team(request, cost=1.0, weight=1)
+        durations_us.append((time.perf_counter() - started) * MICROSECONDS)
+    return percentile(durations_us, 0.99)
 
 
 def measure_configuration(count):
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_examples.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_examples.py
@@ -31,14 +31,14 @@
 @pytest.mark.parametrize("kind", ["string_gauge", "cutting_sheet"])
 def test_caller_gets_its_answer(running, kind):
     program = EXAMPLES / "submit_and_wait.py"
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, program, running.address(), kind, "schools"],
         capture_output=True,
         text=True,
         timeout=60,
         check=True,
     )
-    assert "'outcome': 'done'" in done.stdout
+    assert "'outcome': 'done'" in completed.stdout
 
 
 def test_gallery_names_every_example():
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_operators_guide.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_operators_guide.py
@@ -35,7 +35,7 @@
 def test_command_of_the_guide(running, folder, command):
     words = shlex.split(command)
     program = pathlib.Path(sys.executable).with_name(words[0])
-    done = subprocess.run(
+    completed = subprocess.run(
         [program, *words[1:]],
         cwd=folder,
         env={"CICADAFOLD_ADDRESS": f"http://{running.address()}"},
@@ -45,7 +45,9 @@
         check=False,
     )
     expected = EXIT_UNKNOWN if command == NO_RECORD else 0
-    assert done.returncode == expected, done.stdout + done.stderr
+    assert completed.returncode == expected, (
+        completed.stdout + completed.stderr
+    )
 
 
 def test_guide_has_the_commands_that_operators_need():
