--- a/packages/cicadafold-standins/src/cicadafold_standins/experiment.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/experiment.py
@@ -91,7 +91,7 @@
         self.cell = cell
         self.slots = sum(host.slots for host in cell.hosts)
         self.revision = 1
-        self.load_number = 0
+        self.trace = 0
         self.load_started_s = 0.0
 
     async def run(self):
@@ -177,7 +177,7 @@
 
     async def generate_load(self, mixes, duration_s):
         """Offers a mix from both regions, by the size of their racks."""
-        self.load_number += 1
+        self.trace += 1
         self.load_started_s = time.monotonic()
         shares = {"r1": 2 / 3, "r2": 1 / 3}
         found = await asyncio.gather(
@@ -185,7 +185,7 @@
                 load.generate_load(
                     load.LoadFile(
                         seed=SEED + index,
-                        label=f"t{self.load_number}-",
+                        label=f"t{self.trace}-",
                         duration_s=duration_s,
                         patience_s=1.0,
                         mix=[
