--- a/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
@@ -62,7 +62,7 @@
 
 
 def measure_routing(count):
-    """Returns the microseconds of choosing a home rack, p50 and p99."""
+    """Returns the time to choose an assigned rack, p50 and p99 in us."""
     table = make_host_table(make_hosts(count))
     state = control_state.ControlState()
     view = membership_view.MembershipView(
