--- a/packages/cicadafold/src/cicadafold/cli/main.py
+++ b/packages/cicadafold/src/cicadafold/cli/main.py
@@ -1,4 +1,4 @@
-"""Entry point of ``cicadafold``."""
+"""Entry point of the command line ``cicadafold``."""
 
 import sys
 
@@ -22,14 +22,14 @@
 
 def make_application():
     """Returns the application with all registered commands."""
-    made = application.Application("cicadafold", "0.1.0")
+    app = application.Application("cicadafold", "0.1.0")
     for cls in base.COMMANDS:
-        made.add(cls())
-    return made
+        app.add(cls())
+    return app
 
 
 def main():
-    """Runs the command line."""
+    """Runs the command line and exits with the exit code of the command."""
     sys.exit(make_application().run())
 
 
--- a/packages/cicadafold/src/cicadafold/cli/operator_commands.py
+++ b/packages/cicadafold/src/cicadafold/cli/operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands of operators: cell, drain, burn report, settings check."""
+"""Commands for operators: cell, drain, burn report, settings."""
 
 import pathlib
 
@@ -22,18 +22,18 @@
 ]
 
 
-@base.registered
+@base.register_command
 class CellCommand(base.CallCommand):
-    """Shows members, racks and their owners."""
+    """Shows the members of the cell, its racks and their owners."""
 
     name = "cell"
-    description = "Shows members, racks and their owners."
+    description = "Shows the members of the cell, its racks and their owners."
 
-    def run_call(self):
-        """Asks for the cell."""
-        return self.call("GET", "/v1/cell", messages.Cell)
+    def perform(self):
+        """Returns the cell as the entry host sees it."""
+        return self.call_api("GET", "/v1/cell", messages.Cell)
 
-    def text(self, result):
+    def text_lines(self, result):
         """Yields one line for each member and rack."""
         yield f"revision {result.revision}, log offset {result.log_offset}"
         for member in result.members:
@@ -50,44 +50,49 @@
             )
 
 
-@base.registered
+@base.register_command
 class DrainCommand(base.CallCommand):
-    """Drains an entry host and stops it gracefully."""
+    """Drains an entry host and stops it."""
 
     name = "drain"
-    description = "Drains the entry host that --address names."
+    description = "Drains the entry host at --address and stops it."
 
-    def run_call(self):
-        """Begins the drain."""
-        return self.call("POST", "/v1/drain", messages.DrainReply)
+    def perform(self):
+        """Starts the drain and returns without waiting for its end."""
+        return self.call_api("POST", "/v1/drain", messages.DrainReply)
 
-    def text(self, result):
-        """Yields the state of the drained member."""
+    def text_lines(self, result):
+        """Yields the name of the member and its state."""
         yield f"{result.member}: {result.state}"
 
 
-@base.registered
+@base.register_command
 class ReportBurnCommand(base.CallCommand):
-    """Reports service-level burn per kind over several windows."""
+    """Reports for each kind how fast it uses up its error budget."""
 
     name = "report burn"
-    description = "Reports service-level burn per kind."
+    description = "Reports for each kind how fast it uses up its error budget."
     options = [
         *base.COMMON_OPTIONS,
-        option("html", None, "Also write a page to this file.", flag=False),
+        option(
+            "html",
+            None,
+            "HTML file to write the report to as well.",
+            flag=False,
+        ),
     ]
 
-    def run_call(self):
-        """Asks for the report and writes the page."""
-        report = self.call("GET", "/v1/reports/burn", messages.BurnReport)
+    def perform(self):
+        """Returns the report, and writes the HTML file if it is asked for."""
+        report = self.call_api("GET", "/v1/reports/burn", messages.BurnReport)
         path = self.option("html")
         if path:
             page = burn_page.render(report)
             pathlib.Path(path).write_text(page, encoding="utf-8")
         return report
 
-    def text(self, result):
-        """Yields one line for each kind and window."""
+    def text_lines(self, result):
+        """Yields a line for each kind, window and member that is missing."""
         for kind in result.kinds:
             yield (
                 f"{kind.kind}: objective {kind.objective_share:.2%} within "
@@ -102,13 +107,13 @@
             yield f"not included: {name} did not answer"
 
 
-@base.registered
+@base.register_command
 class SettingsCheckCommand(command.Command):
-    """Checks a settings file and lists every fault with its remedy."""
+    """Checks a settings file and lists all invalid settings with remedies."""
 
     name = "settings check"
-    description = "Checks a settings file whole."
-    arguments = [argument("file", "TOML file of an entry host.")]
+    description = "Checks a settings file and lists all its invalid settings."
+    arguments = [argument("file", "Settings file of an entry host, in TOML.")]
 
     def handle(self):
         """Checks the file and returns the exit code."""
@@ -116,17 +121,19 @@
         if result.is_ok():
             self.line("The settings are valid.")
             return int(client.ExitCode.DONE)
-        for fault in result.error:
-            self.line_error(str(fault))
+        for invalid in result.error:
+            self.line_error(str(invalid))
         return int(client.ExitCode.USAGE)
 
 
-@base.registered
+@base.register_command
 class SettingsListCommand(command.Command):
-    """Lists all settings as a table in Markdown."""
+    """Prints all settings as a Markdown table."""
 
     name = "settings list"
-    description = "Lists all settings with unit and default."
+    description = (
+        "Prints a Markdown table of all settings with unit and default."
+    )
 
     def handle(self):
         """Prints the table."""
--- a/packages/cicadafold/src/cicadafold/controllog/tests/test_fold.py
+++ b/packages/cicadafold/src/cicadafold/controllog/tests/test_replay.py
@@ -1,11 +1,11 @@
-"""The fold agrees with a naive one, also when it starts in the middle."""
+"""Replay agrees with a naive scan, also when it starts from a snapshot."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 import msgspec
 
-from cicadafold.controllog import fold
 from cicadafold.controllog import records
+from cicadafold.controllog import replay
 from cicadafold.platform import messages as platform
 from cicadafold_schema import messages
 
@@ -63,7 +63,7 @@
 
 
 def entries_of(stream):
-    """Returns the log's entries of a stream of record batches."""
+    """Returns log entries, one for each batch of records."""
     return [
         platform.LogEntry(
             offset=offset,
@@ -74,17 +74,17 @@
     ]
 
 
-def feed(entries):
-    """Folds entries that begin with the first of the log."""
-    found = fold.Fold()
-    found.begin(1)
+def replay_all(entries):
+    """Returns the state after entries that start with the log's first."""
+    state_replay = replay.StateReplay()
+    state_replay.start(1)
     for entry in entries:
-        found.feed(entry)
-    return found.state
+        state_replay.apply_entry(entry)
+    return state_replay.state
 
 
 def naive_owner(stream, rack):
-    """Finds the owner of a rack by scanning for each claim in turn."""
+    """Returns owner and term of a rack by a scan of its claims."""
     term = 0
     owner = None
     for offset, batch in enumerate(stream, start=1):
@@ -96,7 +96,7 @@
 
 
 def naive_attempt(stream, request_id):
-    """Finds coordinator, attempt and outcome of a request by scanning."""
+    """Returns coordinator, attempt and outcome of a request by a scan."""
     found = None
     for offset, batch in enumerate(stream, start=1):
         for record in batch:
@@ -116,7 +116,7 @@
 
 @given(streams)
 def test_owners_agree_with_naive_scan(stream):
-    state = feed(entries_of(stream))
+    state = replay_all(entries_of(stream))
     for rack in ("r1", "r2"):
         owner = state.owners.get(rack)
         found = (owner.member, owner.term) if owner else (None, 0)
@@ -125,7 +125,7 @@
 
 @given(streams)
 def test_requests_agree_with_naive_scan(stream):
-    state = feed(entries_of(stream))
+    state = replay_all(entries_of(stream))
     for request_id in ("q1", "q2", "q3"):
         entry = state.requests.get(request_id)
         found = entry and (entry.coordinator, entry.attempt, entry.outcome)
@@ -133,51 +133,55 @@
 
 
 @given(streams)
-def test_revision_counts_each_change_once_and_never_falls(stream):
-    found = fold.Fold()
-    found.begin(1)
+def test_revision_increases_once_per_change(stream):
+    state_replay = replay.StateReplay()
+    state_replay.start(1)
     last = 0
     for entry in entries_of(stream):
-        found.feed(entry)
-        revision = found.state.configuration.revision
+        state_replay.apply_entry(entry)
+        revision = state_replay.state.configuration.revision
         assert last <= revision
         last = revision
-    identifiers = [e.change_id for e in found.state.history]
+    identifiers = [e.change_id for e in state_replay.state.history]
     assert len(identifiers) == len(set(identifiers)) == last
 
 
 @given(streams, st.integers(0, 12), st.integers(0, 12))
-def test_fold_from_snapshot_equals_whole_fold(stream, through, cut):
-    """A joiner that missed the first entries gets the same state."""
+def test_replay_from_snapshot_equals_full_replay(stream, through, cut):
+    """A process that cannot read the first entries gets the same state."""
     entries = entries_of(stream)
     through = min(through, len(entries))
     cut = min(cut, through)
     snapshot = records.Snapshot(
         through=through,
-        state=msgspec.Raw(msgspec.json.encode(feed(entries[:through]))),
+        state=msgspec.Raw(msgspec.json.encode(replay_all(entries[:through]))),
     )
     last = platform.LogEntry(
         offset=len(entries) + 1,
         at_ms=len(entries) * 10 + 10,
         body=msgspec.Raw(records.encode_entry([snapshot])),
     )
-    joiner = fold.Fold()
-    joiner.begin(max(2, cut + 1))
+    partial_replay = replay.StateReplay()
+    partial_replay.start(max(2, cut + 1))
     for entry in [*entries[cut:], last]:
-        joiner.feed(entry)
-    whole = feed([*entries, last])
-    assert joiner.complete
-    assert msgspec.to_builtins(joiner.state) == msgspec.to_builtins(whole)
+        partial_replay.apply_entry(entry)
+    full_state = replay_all([*entries, last])
+    assert partial_replay.complete
+    assert msgspec.to_builtins(partial_replay.state) == msgspec.to_builtins(
+        full_state
+    )
 
 
-def test_joiner_without_snapshot_is_incomplete():
-    joiner = fold.Fold()
-    joiner.begin(7)
-    joiner.feed(platform.LogEntry(offset=7, at_ms=1, body=msgspec.Raw(b"[]")))
-    assert not joiner.complete
+def test_replay_without_first_entry_or_snapshot_is_incomplete():
+    partial_replay = replay.StateReplay()
+    partial_replay.start(7)
+    partial_replay.apply_entry(
+        platform.LogEntry(offset=7, at_ms=1, body=msgspec.Raw(b"[]"))
+    )
+    assert not partial_replay.complete
 
 
-def test_done_requests_are_forgotten_after_the_window():
+def test_ended_requests_are_removed_after_deduplication_window():
     accept = records.Accept(
         request_id="q",
         member="a",
@@ -189,9 +193,9 @@
         deadline_ms=1,
     )
     done = records.Done(request_id="q", outcome=messages.Outcome.done)
-    found = fold.Fold()
-    found.begin(1)
-    window = fold.DEDUPLICATION_WINDOW_MS
+    state_replay = replay.StateReplay()
+    state_replay.start(1)
+    window = replay.DEDUPLICATION_WINDOW_MS
     times = [0, 1, window - 1, window + 2]
     batches = [[accept], [done], [], []]
     kept = []
@@ -199,6 +203,8 @@
         zip(times, batches, strict=True), start=1
     ):
         body = msgspec.Raw(records.encode_entry(batch))
-        found.feed(platform.LogEntry(offset=offset, at_ms=at_ms, body=body))
-        kept.append("q" in found.state.requests)
+        state_replay.apply_entry(
+            platform.LogEntry(offset=offset, at_ms=at_ms, body=body)
+        )
+        kept.append("q" in state_replay.state.requests)
     assert kept == [True, True, True, False]
--- a/packages/cicadafold/src/cicadafold/ledger/adoption.py
+++ b/packages/cicadafold/src/cicadafold/coordination/adoption.py
@@ -1,8 +1,9 @@
-"""Finds another coordinator for requests whose own is gone.
+"""Adopts requests whose coordinator has failed or left.
 
-The member with the greatest rendezvous weight appends an adopt record. The
-first one in the log's order holds, and its offset fences the dispatches of
-the earlier coordinator.
+The process with the greatest rendezvous weight for a request appends an adopt
+record. Of several, only the first on the control log has an effect. Its
+offset becomes the attempt of the request, so that rack owners refuse the
+dispatches of the earlier coordinator.
 """
 
 import asyncio
@@ -10,8 +11,8 @@
 from cicadafold import clock
 from cicadafold.controllog import records
 from cicadafold.controllog import state as control_state
+from cicadafold.coordination import request_dispatcher
 from cicadafold import exception
-from cicadafold.ledger import placing
 from cicadafold.ownership import assignment
 from cicadafold.telemetry import logs
 from cicadafold_schema import messages
@@ -19,21 +20,24 @@
 __all__ = ["Adopter"]
 
 ADOPT_PERIOD_S = 0.5
-ADOPTED_MIN_BUDGET_MS = 5000
+MIN_ADOPTED_BUDGET_MS = 5000
 
 LOG = logs.get_logger("ledger")
 
 
 class Adopter:
-    """Adopts the open requests that fall to this member.
+    """Adopts open requests of which this process should be coordinator.
 
     Args:
         node: The services of this process.
-        coordinate: Function that takes the request of an adoption.
+        coordinate: Function that starts to coordinate a
+            ``PendingRequest`` after its adoption.
 
     Attributes:
-        adopting: Requests whose adopt record is on its way.
-        open_ids: Requests without a final outcome.
+        adopting: Identifiers of the requests whose adopt record was sent
+            and is not applied yet.
+        open_ids: Identifiers of the requests without a final outcome.
+        indexed_state: State for which ``open_ids`` was last computed.
     """
 
     def __init__(self, *, node, coordinate):
@@ -41,10 +45,10 @@
         self.coordinate = coordinate
         self.adopting = set()
         self.open_ids = set()
-        self.indexed = None
+        self.indexed_state = None
 
     def on_record(self, record):
-        """Follows which requests are open, and adoptions."""
+        """Updates the open requests, and handles adopt records."""
         if isinstance(record, records.Done):
             self.open_ids.discard(record.request_id)
         elif isinstance(record, records.Accept):
@@ -53,24 +57,28 @@
             self.on_adopt(record)
 
     def on_adopt(self, record):
-        """Coordinates a request that this member has adopted."""
+        """Starts to coordinate a request that this process has adopted."""
         self.adopting.discard(record.request_id)
         if record.incarnation != self.node.incarnation:
             return
         entry = self.node.tail.state.requests.get(record.request_id)
         if entry is None or not control_state.is_open(entry):
             return
-        ours = (
+        is_coordinator = (
             entry.coordinator == self.node.name
             and entry.incarnation == self.node.incarnation
         )
         kind = self.node.kind(entry.kind)
-        if ours and kind is not None:
-            LOG.info("%s is adopted.", entry.request_id)
-            self.coordinate(self.adopted(entry, kind))
-
-    def adopted(self, entry, kind):
-        """Builds the request of an adopted entry."""
+        if is_coordinator and kind is not None:
+            LOG.info(
+                "Request %s is coordinated by this process from now on: its "
+                "earlier coordinator failed or left.",
+                entry.request_id,
+            )
+            self.coordinate(self.build_request(entry, kind))
+
+    def build_request(self, entry, kind):
+        """Returns the pending request of an adopted entry."""
         submit = messages.SubmitRequest(
             request_id=entry.request_id,
             kind=entry.kind,
@@ -79,9 +87,9 @@
             origin=entry.region,
         )
         age_ms = self.node.tail.age_ms(entry.accepted_ms)
-        rest_ms = entry.deadline_ms - age_ms
-        budget_ms = max(ADOPTED_MIN_BUDGET_MS, rest_ms)
-        request = placing.PlacingRequest(
+        remaining_ms = entry.deadline_ms - age_ms
+        budget_ms = max(MIN_ADOPTED_BUDGET_MS, remaining_ms)
+        request = request_dispatcher.PendingRequest(
             submit=submit,
             kind=kind,
             deadline_ms=clock.monotonic_ms() + budget_ms,
@@ -89,59 +97,77 @@
             first=False,
             adopted=True,
         )
-        request.born_ms -= self.node.tail.age_ms(entry.accepted_ms)
+        request.earliest_dispatch_ms -= self.node.tail.age_ms(
+            entry.accepted_ms
+        )
         return request
 
     async def run(self):
-        """Adopts the requests whose coordinator is gone."""
+        """Checks for requests to adopt until it is cancelled."""
         while True:
             await asyncio.sleep(ADOPT_PERIOD_S)
             if self.node.tail.ready and not self.node.view.draining:
                 self.adopt_orphans()
 
     def adopt_orphans(self):
-        """Appends adopt records for the requests that fall to us."""
-        members = self.node.keeper.candidates()
+        """Adopts each open request whose coordinator is not alive.
+
+        Only the preferred new coordinator of a request does so.
+        """
+        members = self.node.rack_claimer.eligible_members()
         state = self.node.tail.state
-        self.index_open(state)
+        self.index_open_requests(state)
         for request_id in list(self.open_ids):
             entry = state.requests.get(request_id)
             if entry is None or not control_state.is_open(entry):
                 self.open_ids.discard(request_id)
                 continue
-            if entry.request_id in self.adopting or self.is_looked_after(
+            if entry.request_id in self.adopting or self.coordinator_is_alive(
                 entry, state
             ):
                 continue
-            if self.falls_to_us(entry, members):
+            if self.is_preferred_coordinator(entry, members):
                 self.adopting.add(entry.request_id)
                 asyncio.create_task(self.adopt(entry))
 
-    def index_open(self, state):
-        """Finds the open requests once after a snapshot was taken over."""
-        if self.indexed is state:
+    def index_open_requests(self, state):
+        """Finds the open requests anew after the state was replaced.
+
+        Args:
+            state: The current replayed state.
+        """
+        if self.indexed_state is state:
             return
-        self.indexed = state
+        self.indexed_state = state
         self.open_ids = {
             entry.request_id
             for entry in state.requests.values()
             if control_state.is_open(entry)
         }
 
-    def is_looked_after(self, entry, state):
-        """Whether the coordinator of a request counts as alive."""
+    def coordinator_is_alive(self, entry, state):
+        """Whether the coordinator of a request is alive in its incarnation."""
         member = state.members.get(entry.coordinator)
         if member is None or member.incarnation != entry.incarnation:
             return False
         return self.node.view.is_alive(member)
 
-    def falls_to_us(self, entry, members):
-        """Whether this member should adopt a request."""
-        near = [m for m in members if m.region == entry.region] or members
-        if not near:
+    def is_preferred_coordinator(self, entry, members):
+        """Whether this process should adopt a request.
+
+        Processes in the region of the request precede all others.
+
+        Args:
+            entry: Entry of the request in the replayed state.
+            members: Processes that can become coordinator.
+        """
+        candidates = [
+            m for m in members if m.region == entry.region
+        ] or members
+        if not candidates:
             return False
         chosen = max(
-            near,
+            candidates,
             key=lambda m: assignment.rendezvous_weight(
                 entry.request_id, m.name
             ),
@@ -149,7 +175,10 @@
         return self.node.view.is_self(chosen)
 
     async def adopt(self, entry):
-        """Appends the adopt record of one request."""
+        """Appends the adopt record of one request.
+
+        After a failed append the request may be adopted again later.
+        """
         record = records.Adopt(
             request_id=entry.request_id,
             member=self.node.name,
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_stall_detector.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_stall_detector.py
@@ -37,7 +37,7 @@
     [None, exception.LogUnavailable(message="Down.", remedy="Wait.")],
 )
 def test_no_commands_after_a_stall_until_the_claim_is_read(time, error):
-    """Commands are allowed again once the claim was read or failed to be."""
+    """They are allowed again after the read, also if the store is down."""
     calls = []
 
     async def read_newest_claim():
@@ -95,11 +95,11 @@
     placer = placing.Placer(
         term=1,
         table=None,
-        learned=None,
+        estimates=None,
         workers={},
         links={"w": types.SimpleNamespace(events=events)},
-        settled=None,
-        steady=lambda: False,
+        all_runs_known=None,
+        commands_allowed=lambda: False,
         spawn=None,
         lease=None,
         metrics=None,
--- a/packages/cicadafold/src/cicadafold/ownership/starting.py
+++ b/packages/cicadafold/src/cicadafold/ownership/starting.py
@@ -1,119 +1,150 @@
-"""Starts waiting work on the workers of a rack, urgent work first."""
+"""Starts queued requests on the workers of a rack, urgent ones first."""
 
 import functools
 
 from cicadafold import clock
 from cicadafold.ownership import estimates
-from cicadafold.ownership import task_names
-from cicadafold.ownership import work as rack_work
+from cicadafold.ownership import rack_requests
+from cicadafold.ownership import task_ids
 from cicadafold.placement import capacity
 from cicadafold.placement import policies
 from cicadafold_schema import messages
 
-__all__ = ["choose_links", "pump", "try_start"]
+__all__ = ["choose_links", "dispatch_queued", "try_start"]
 
-State = rack_work.WorkState
+State = rack_requests.RequestState
 
 
-def pump(owner):
-    """Starts waiting work, urgent first, for as long as it fits."""
+def dispatch_queued(owner):
+    """Starts queued requests, urgent ones first, until the next does not fit.
+
+    Patient requests follow in the order of the teams' fair shares; teams at
+    their quota are skipped.
+    """
     if owner.retired:
         return
-    while work := owner.lanes.first_urgent():
-        if not start_queued(owner, work):
+    while request := owner.lanes.peek_urgent():
+        if not start_queued(owner, request):
             break
-    while work := owner.lanes.first_patient(
-        functools.partial(team_may_start, owner)
+    while request := owner.lanes.peek_patient(
+        functools.partial(is_below_quota, owner)
     ):
-        if not start_queued(owner, work):
+        if not start_queued(owner, request):
             break
 
 
-def start_queued(owner, work):
-    """Starts the work at the head of a lane if it fits.
+def start_queued(owner, request):
+    """Starts or refuses the request at the head of a lane.
 
-    Work that would end too late is refused before it starts, so that
-    its answer is a truthful "not run" and its slot serves others.
+    A request that would end after its deadline is refused before it starts:
+    the caller then knows that it has not run, and the slot stays free for
+    others.
+
+    Returns:
+        Whether the request has left the queue.
     """
-    if estimates.would_be_late(owner, work, 0.0):
-        owner.lanes.remove(work)
-        estimates.refuse_work(
-            owner, work, estimates.expected_wait_ms(owner, work)
+    if estimates.would_be_late(owner, request, 0.0):
+        owner.lanes.remove(request)
+        estimates.refuse_late(
+            owner, request, estimates.expected_wait_ms(owner, request)
         )
         return True
-    if not try_start(owner, work, queued=True):
+    if not try_start(owner, request, queued=True):
         return False
-    owner.lanes.remove(work)
-    if work.kind.lane is messages.Lane.patient:
-        owner.lanes.charge(
-            work,
-            cost=work.kind.cores * work.kind.tasks / work.kind.worth,
-            weight=owner.node.team_weight(work.team),
+    owner.lanes.remove(request)
+    if request.kind.lane is messages.Lane.patient:
+        owner.lanes.charge_team(
+            request,
+            cost=request.kind.cores * request.kind.tasks / request.kind.worth,
+            weight=owner.node.team_weight(request.team),
         )
     return True
 
 
-def team_may_start(owner, team):
-    """Whether a team is below its quota on this rack."""
+def is_below_quota(owner, team):
+    """Whether a team is below its quota of cores in this rack.
+
+    A quota of 0 is unlimited.
+    """
     quota = owner.node.team_quota_cores(team)
     return not quota or owner.held_cores[team] < quota
 
 
 def headroom(owner, kind):
-    """Returns the slots on each worker that a kind leaves free."""
+    """Returns how many slots a start must leave free on a worker.
+
+    Patient requests leave the configured headroom to urgent ones.
+    """
     if kind.lane is messages.Lane.urgent:
         return 0
     return owner.node.headroom_slots()
 
 
-def try_start(owner, work, *, queued=False):
-    """Starts a request if all its tasks fit now."""
-    if not queued and must_queue(owner, work):
+def try_start(owner, request, *, queued=False):
+    """Starts a request if all its tasks fit now.
+
+    Args:
+        owner: ``RackOwner`` of the rack.
+        request: ``RackRequest`` that has no tasks.
+        queued: Whether the request is the next one of its lane, so that it
+            need not wait for others.
+
+    Returns:
+        Whether the request was started.
+    """
+    if not queued and must_queue(owner, request):
         return False
-    size = capacity.size_of_kind(work.kind)
-    chosen = choose_links(owner, work, size)
+    size = capacity.resources_of_kind(request.kind)
+    chosen = choose_links(owner, request, size)
     if not chosen:
         return False
     now_ms = clock.monotonic_ms()
-    waited_ms = now_ms - work.arrived_ms
-    work.waited_us = int(waited_ms * clock.MILLISECONDS)
-    work.state = State.RUNNING
-    work.ends = {}
-    if work.kind.lane is messages.Lane.patient:
-        owner.held_cores[work.team] += size.cores * len(chosen)
+    waited_ms = now_ms - request.arrived_ms
+    request.waited_us = int(waited_ms * clock.MILLISECONDS)
+    request.state = State.RUNNING
+    request.ends = {}
+    if request.kind.lane is messages.Lane.patient:
+        owner.held_cores[request.team] += size.cores * len(chosen)
     for index, link in enumerate(chosen):
-        task_id = task_names.task_id(work.request_id, index, len(chosen))
-        work.tasks[task_id] = link.start(
+        task_id = task_ids.task_id(request.request_id, index, len(chosen))
+        request.tasks[task_id] = link.start(
             task_id=task_id,
             size=size,
-            payload=work.payload,
-            lease_ms=work.kind.lease_ms,
+            payload=request.payload,
+            lease_ms=request.kind.lease_ms,
             on_end=owner.on_task_end,
         )
     owner.node.events.add(
-        work.request_id,
-        "Started on %s by %s under term %d after %.1f ms.",
+        request.request_id,
+        "Started on %s by policy %s in term %d after a wait of %.1f ms.",
         ", ".join(link.name for link in chosen),
-        work.kind.placement,
+        request.kind.placement,
         owner.term,
         waited_ms,
     )
     return True
 
 
-def must_queue(owner, work):
-    """Whether work of the same lane waits ahead."""
-    if work.kind.lane is messages.Lane.urgent:
+def must_queue(owner, request):
+    """Whether a new request must wait for queued ones or for its quota.
+
+    Urgent requests wait only for urgent ones, patient ones for all.
+    """
+    if request.kind.lane is messages.Lane.urgent:
         return bool(owner.lanes.urgent_count)
-    return bool(len(owner.lanes)) or not team_may_start(owner, work.team)
+    return bool(len(owner.lanes)) or not is_below_quota(owner, request.team)
 
 
-def choose_links(owner, work, size):
-    """Chooses a worker for every task, or none at all."""
-    kind = work.kind
+def choose_links(owner, request, size):
+    """Returns a link for each task of a request, or none if some do not fit.
+
+    Capacity is reserved only while choosing, so that two tasks of a gang do
+    not count the same capacity.
+    """
+    kind = request.kind
     chosen = []
     for _ in range(kind.tasks):
-        fitting = candidates(owner, work, size)
+        fitting = startable_links(owner, request, size)
         link = policies.choose(kind.placement, fitting, size)
         if link is None:
             break
@@ -124,19 +155,22 @@
     return chosen if len(chosen) == kind.tasks else []
 
 
-def candidates(owner, work, size):
-    """Returns the workers that could start a task now.
+def startable_links(owner, request, size):
+    """Returns the links to the workers that could start a task now.
 
-    A worker on which the request has failed is taken only if there
-    is no other.
+    Workers on which the request has failed are returned only if no other
+    worker fits.
     """
-    spare = headroom(owner, work.kind)
+    headroom_slots = headroom(owner, request.kind)
     fitting = [
         link
         for link in owner.links.values()
-        if link.capacity.fits(size, headroom=spare) and link.available()
+        if link.capacity.fits(size, headroom=headroom_slots)
+        and link.is_available()
     ]
-    if not work.avoided:
+    if not request.failed_workers:
         return fitting
-    others = [link for link in fitting if link.name not in work.avoided]
+    others = [
+        link for link in fitting if link.name not in request.failed_workers
+    ]
     return others or fitting
--- a/packages/cicadafold/src/cicadafold/ownership/task_names.py
+++ b/packages/cicadafold/src/cicadafold/ownership/task_ids.py
@@ -1,12 +1,17 @@
-"""Names of the tasks of a request."""
+"""Identifiers of the tasks of a request."""
 
-__all__ = ["index_of", "request_of", "task_id"]
+__all__ = ["index_of", "request_id_of", "task_id"]
 
 INDEX_SEPARATOR = "~"
 
 
 def task_id(request_id, index, count):
-    """Returns the id of a task of a request.
+    """Returns the identifier of a task of a request.
+
+    Args:
+        request_id: Identifier of the request.
+        index: Index of the task in its gang, from 0.
+        count: Number of tasks of the request.
 
     Examples:
         >>> task_id("r1", 0, 1)
@@ -19,8 +24,8 @@
     return f"{request_id}{INDEX_SEPARATOR}{index}"
 
 
-def request_of(task_id):
-    """Returns the request of a task."""
+def request_id_of(task_id):
+    """Returns the identifier of the request that a task belongs to."""
     return task_id.partition(INDEX_SEPARATOR)[0]
 
 
--- a/packages/cicadafold/src/cicadafold/placement/policies.py
+++ b/packages/cicadafold/src/cicadafold/placement/policies.py
@@ -1,11 +1,12 @@
-"""Placement policies, each chosen by name in the kind's configuration.
+"""Placement policies, which choose one of the workers that a task fits on.
 
-A policy gets the capacities on which the task fits and returns the index
-of one of them.
+The configuration of a kind selects a policy by its registered name. A
+policy receives the capacities of the candidate workers and the resources
+of the task, and returns the index of the chosen worker.
 
 References:
-    A. Ghodsi et al.: Dominant Resource Fairness, NSDI 2011 (the dominant
-    share of a task).
+    A. Ghodsi et al.: Dominant Resource Fairness, NSDI 2011 (the
+    dominant share of a task).
 """
 
 __all__ = ["POLICIES", "choose", "policy"]
@@ -14,7 +15,11 @@
 
 
 def policy(name):
-    """Registers a placement policy under a name."""
+    """Returns a decorator that registers a placement policy.
+
+    Args:
+        name: Name by which a kind's configuration selects the policy.
+    """
 
     def register(function):
         POLICIES[name] = function
@@ -24,14 +29,14 @@
 
 
 @policy("first_fit")
-def first_fit(capacities, size):
-    """Takes the first worker."""
+def first_fit(capacities, resources):
+    """Chooses the first worker."""
     return 0
 
 
 @policy("least_loaded")
-def least_loaded(capacities, size):
-    """Takes the worker with the most free slots, then cores."""
+def least_loaded(capacities, resources):
+    """Chooses the worker with the most free slots, then most free cores."""
     indexes = range(len(capacities))
     return max(
         indexes,
@@ -40,57 +45,67 @@
 
 
 @policy("best_fit")
-def best_fit(capacities, size):
-    """Takes the worker that is left with the least dominant share free."""
+def best_fit(capacities, resources):
+    """Chooses the worker whose largest remaining free share is smallest."""
     indexes = range(len(capacities))
-    return min(indexes, key=lambda i: dominant_rest(capacities[i], size))
+    return min(
+        indexes,
+        key=lambda i: largest_remaining_share(capacities[i], resources),
+    )
 
 
 @policy("shape_match")
-def shape_match(capacities, size):
-    """Takes the worker whose free shape is most like the task's.
+def shape_match(capacities, resources):
+    """Chooses the worker whose remaining free shares are most balanced.
 
-    The measure is the squared difference between the free shares that are
-    left, so that no resource is stranded when another is used up.
+    The squared deviation of the remaining shares from their mean is
+    minimized, so that no resource stays unused because another one is
+    exhausted.
     """
     indexes = range(len(capacities))
-    return min(indexes, key=lambda i: imbalance(capacities[i], size))
+    return min(indexes, key=lambda i: imbalance(capacities[i], resources))
+
 
+def largest_remaining_share(capacity, resources):
+    """Returns the largest share that is free after placing a task."""
+    return max(remaining_shares(capacity, resources))
 
-def dominant_rest(capacity, size):
-    """Largest free share that is left after placing a task."""
-    return max(rest_shares(capacity, size))
 
+def imbalance(capacity, resources):
+    """Returns how unevenly capacity is free after placing a task.
 
-def imbalance(capacity, size):
-    """Squared differences between the free shares that are left."""
-    rest = rest_shares(capacity, size)
-    mean = sum(rest) / len(rest)
-    spread = sum((share - mean) ** 2 for share in rest)
+    Returns:
+        The sum of squared deviations of the free shares from their mean,
+        then the mean, which decides between equal sums.
+    """
+    remaining = remaining_shares(capacity, resources)
+    mean = sum(remaining) / len(remaining)
+    spread = sum((share - mean) ** 2 for share in remaining)
     return (spread, mean)
 
 
-def rest_shares(capacity, size):
-    """Free shares of cores, memory and slots after placing a task."""
+def remaining_shares(capacity, resources):
+    """Returns the free shares of cores, memory and slots after placing."""
     return (
-        (capacity.free_cores - size.cores) / capacity.cores,
-        (capacity.free_memory_mb - size.memory_mb) / capacity.memory_mb,
+        (capacity.free_cores - resources.cores) / capacity.cores,
+        (capacity.free_memory_mb - resources.memory_mb) / capacity.memory_mb,
         (capacity.free_slots - 1) / capacity.slots,
     )
 
 
-def choose(name, candidates, size):
-    """Chooses among candidates that have a ``capacity``.
+def choose(name, candidates, resources):
+    """Returns the candidate that a policy chooses for a task.
 
     Args:
         name: Name of a registered policy.
-        candidates: Objects on whose capacity the task fits.
-        size: Size of the task.
+        candidates: Workers that the task fits on, as objects with a
+            ``capacity``.
+        resources: Resources that the task needs.
 
     Returns:
-        One of the candidates, or None if there is none.
+        One of the candidates, or None if there are none.
     """
     if not candidates:
         return None
     capacities = [candidate.capacity for candidate in candidates]
-    return candidates[POLICIES[name](capacities, size)]
+    return candidates[POLICIES[name](capacities, resources)]
--- a/packages/cicadafold/src/cicadafold/service/app.py
+++ b/packages/cicadafold/src/cicadafold/service/app.py
@@ -1,4 +1,4 @@
-"""Builds the HTTP application: roles, typed errors, draining."""
+"""Builds the HTTP application: routes, roles of tokens, error replies."""
 
 import hmac
 
@@ -23,8 +23,13 @@
 Role = registry.Role
 
 
-class Guard:
-    """Checks the token of each call against the settings."""
+class Authorizer:
+    """Checks that the token of a call has the role that the call requires.
+
+    Args:
+        settings: Settings of the process, with the token of each role. A
+            role without a token is open to every call.
+    """
 
     def __init__(self, *, settings):
         self.tokens = {
@@ -34,13 +39,17 @@
         }
 
     def check(self, role, request):
-        """Refuses a call whose token does not have the role.
+        """Checks the token of a call.
+
+        The token of operators is accepted for the calls of callers too.
 
-        Operators may make the calls of callers.
+        Args:
+            role: Role that the call requires.
+            request: HTTP request.
 
         Raises:
-            Unauthorized: No token came with the call.
-            Forbidden: The token is not one of the role.
+            Unauthorized: The call has no token.
+            Forbidden: The token does not have the role.
         """
         wanted = self.tokens.get(role, "")
         if not wanted:
@@ -55,38 +64,50 @@
         accepted = [wanted]
         if role is Role.CALLER and self.tokens[Role.OPERATOR]:
             accepted.append(self.tokens[Role.OPERATOR])
-        if not any(same(given, token) for token in accepted):
+        if not any(tokens_equal(given, token) for token in accepted):
             raise exception.Forbidden(
                 message=f"The token does not have the role {role.value}.",
                 remedy="Use the token of that role from the settings.",
             )
 
 
-def same(given, token):
-    """Compares secrets in constant time."""
+def tokens_equal(given, token):
+    """Whether two tokens are equal, compared in constant time."""
     return hmac.compare_digest(given.encode(), token.encode())
 
 
-def make_endpoint(node, guard, found):
-    """Returns the handler that aiohttp calls for a registered call."""
-    counts = found.role in (Role.CALLER, Role.OPERATOR)
+def make_endpoint(node, authorizer, call):
+    """Returns the handler that aiohttp runs for a registered call.
+
+    Calls of callers and operators are counted in ``node.in_flight``, as a
+    drain waits for them. A draining process closes the connection after its
+    reply, so that later calls go to another entry host.
+
+    Args:
+        node: This process.
+        authorizer: Checks the token of the call.
+        call: Registered call.
+    """
+    is_counted = call.role in (Role.CALLER, Role.OPERATOR)
 
     async def endpoint(request):
-        node.in_flight += counts
+        node.in_flight += is_counted
         try:
-            guard.check(found.role, request)
-            reply = await found.handler(node, request)
+            authorizer.check(call.role, request)
+            reply = await call.handler(node, request)
         except exception.CicadafoldError as error:
-            reply = error_reply(error)
+            reply = error_response(error)
             if error.status in (401, 403):
                 LOG.warning("%s was refused: %s", request.path, error.message)
         except (web.HTTPException, ConnectionError):
             raise
         except Exception as error:
-            LOG.exception("%s failed.", request.path)
-            reply = error_reply(internal(error))
+            LOG.exception(
+                "%s failed; answering with an internal error.", request.path
+            )
+            reply = error_response(internal_error(error))
         finally:
-            node.in_flight -= counts
+            node.in_flight -= is_counted
         if node.view.draining and not reply.prepared:
             reply.force_close()
         return reply
@@ -94,8 +115,8 @@
     return endpoint
 
 
-def error_reply(error):
-    """Returns an error as an HTTP reply."""
+def error_response(error):
+    """Returns the HTTP response for an exception of this project."""
     headers = {}
     if error.retry_after_ms is not None:
         seconds = -(-int(error.retry_after_ms) // 1000)
@@ -105,32 +126,36 @@
     )
 
 
-def internal(error):
-    """Builds the error of a fault of this program."""
+def internal_error(error):
+    """Returns the ``Internal`` error for an unexpected exception."""
     return exception.Internal(
-        message=f"The entry host failed: {type(error).__name__}.",
-        remedy="Ask for the request's status, and report the log line.",
+        message=f"Internal error of the entry host: {type(error).__name__}.",
+        remedy="Query the status of the request, and report the log line.",
     )
 
 
 async def answer_unknown_call(request):
-    """Gives unknown paths and methods the schema's error."""
-    return error_reply(
+    """Answers an unknown path or method with an ``ErrorReply``."""
+    return error_response(
         exception.NotFound(
             message=f"There is no call {request.method} {request.path}.",
-            remedy="Use a call of the schema file.",
+            remedy="Use a method and path of openapi.yaml.",
         )
     )
 
 
 def make_app(node):
-    """Builds the application of an entry host."""
+    """Returns the aiohttp application of an entry host.
+
+    Args:
+        node: This process.
+    """
     settings = node.settings
     app = web.Application(client_max_size=settings["limits.max_body_bytes"])
-    guard = Guard(settings=settings)
-    for found in registry.CALLS:
+    authorizer = Authorizer(settings=settings)
+    for call in registry.CALLS:
         app.router.add_route(
-            found.method, found.path, make_endpoint(node, guard, found)
+            call.method, call.path, make_endpoint(node, authorizer, call)
         )
     app.router.add_route("*", "/{path:.*}", answer_unknown_call)
     return app
--- a/packages/cicadafold/src/cicadafold/service/caller_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/caller_calls.py
@@ -1,4 +1,4 @@
-"""Calls of callers: submit, status, wait, cancel, explain."""
+"""API calls of callers: submit, status, wait, cancel, explain."""
 
 import asyncio
 import time
@@ -10,36 +10,49 @@
 from cicadafold import clock
 from cicadafold.controllog import records
 from cicadafold.controllog import state as control_state
+from cicadafold.coordination import answers
+from cicadafold.coordination import request_dispatcher
 from cicadafold import exception
-from cicadafold.ledger import answers
-from cicadafold.ledger import placing
 from cicadafold.peerlink import frames
 from cicadafold.service import codec
 from cicadafold.service import registry
 
 __all__ = ["cancel", "explain", "status", "submit", "wait"]
 
-WAIT_S = 30.0
+ANSWER_TIMEOUT_S = 30.0
 PEER_TIMEOUT_S = 1.0
-CONFIRM_TIMEOUT_S = 1.0
-MICROSECONDS = 1_000_000
+CATCH_UP_TIMEOUT_S = 1.0
+MICROSECONDS_PER_S = 1_000_000
 
 SUBMIT_DECODER = msgspec.json.Decoder(messages.SubmitRequest)
 EXPLANATION_DECODER = msgspec.json.Decoder(messages.Explanation)
 
 
 def require_ready(node):
-    """Refuses calls before the whole state has been folded."""
+    """Checks that this process has joined the cell and can serve callers.
+
+    Raises:
+        Starting: The process is still starting.
+    """
     if not node.is_ready():
         raise exception.Starting(
             message="This entry host is starting.",
-            remedy="Submit again after retry_after_ms.",
+            remedy="Make the call again after retry_after_ms.",
             retry_after_ms=clock.MILLISECONDS,
         )
 
 
-def known_kind(node, submit):
-    """Returns the kind of a request whose team is known too."""
+def require_kind_and_team(node, submit):
+    """Returns the configured kind of a request.
+
+    Args:
+        node: This process.
+        submit: The caller's request.
+
+    Raises:
+        UnknownKind: The configuration has no such kind.
+        UnknownTeam: The configuration has no such team.
+    """
     kind = node.kind(submit.kind)
     if kind is None:
         raise exception.UnknownKind(
@@ -56,15 +69,18 @@
 
 @registry.call("POST", "/v1/requests", registry.Role.CALLER)
 async def submit(node, request):
-    """Places a request, runs it and answers with its result."""
-    began_s = time.perf_counter()
+    """Runs a request and answers with its result.
+
+    If the caller does not wait, the answer says that it was accepted.
+    """
+    start_s = time.perf_counter()
     body = await codec.read_body(request)
-    asked = codec.decode(SUBMIT_DECODER, body)
+    submit_request = codec.decode(SUBMIT_DECODER, body)
     require_ready(node)
-    kind = known_kind(node, asked)
+    kind = require_kind_and_team(node, submit_request)
     good = False
     try:
-        answer = await run(node, asked, kind)
+        answer = await run_request(node, submit_request, kind)
         good = answer.outcome is not messages.Outcome.failed
     except exception.CicadafoldError as error:
         node.metrics.count(
@@ -72,71 +88,99 @@
         )
         raise
     finally:
-        elapsed_s = time.perf_counter() - began_s
+        elapsed_s = time.perf_counter() - start_s
         in_time = elapsed_s * clock.MILLISECONDS <= kind.objective_ms
-        node.burn.note(kind.name, good=good and in_time)
-    note_answer(node, kind, answer, elapsed_s)
+        node.burn.count_answer(kind.name, good=good and in_time)
+    record_answer_metrics(node, kind, answer, elapsed_s)
     accepted = answer.outcome is messages.Outcome.accepted
     return codec.json_response(answer, status=202 if accepted else 200)
 
 
-def note_answer(node, kind, answer, elapsed_s):
-    """Records the metrics of an answer."""
+def record_answer_metrics(node, kind, answer, elapsed_s):
+    """Records the metrics of an answered request.
+
+    Args:
+        node: This process.
+        kind: Kind of the request.
+        answer: The answer.
+        elapsed_s: Seconds from the arrival of the call to the answer.
+    """
     metrics = node.metrics
     metrics.count("answers", kind=kind.name, outcome=answer.outcome.value)
-    metrics.record_us("answer_time", elapsed_s * MICROSECONDS, kind=kind.name)
+    metrics.record_us(
+        "answer_time", elapsed_s * MICROSECONDS_PER_S, kind=kind.name
+    )
     if answer.decision_us:
         metrics.record_us("decision", answer.decision_us, kind=kind.name)
     metrics.record_us("waiting", answer.waited_us, kind=kind.name)
 
 
-async def run(node, asked, kind):
-    """Runs a request by the path that its kind asks for."""
-    budget_ms = asked.deadline_ms or kind.deadline_ms
+async def run_request(node, submit_request, kind):
+    """Runs a request and returns its answer.
+
+    A request that is durable, a service or not idempotent is recorded on
+    the control log before it is placed; others are placed at once.
+
+    Args:
+        node: This process.
+        submit_request: The caller's request.
+        kind: Its kind.
+
+    Raises:
+        CicadafoldError: The request was not done.
+    """
+    budget_ms = submit_request.deadline_ms or kind.deadline_ms
     deadline_ms = clock.monotonic_ms() + budget_ms
     is_service = kind.shape is messages.Shape.service
     if kind.durable or is_service or not kind.idempotent:
-        return await node.coordinator.submit(asked, kind, deadline_ms)
-    request = placing.PlacingRequest(
-        submit=asked,
+        return await node.coordinator.submit(submit_request, kind, deadline_ms)
+    request = request_dispatcher.PendingRequest(
+        submit=submit_request,
         kind=kind,
         deadline_ms=deadline_ms,
-        first=asked.attempt == 1,
+        first=submit_request.attempt == 1,
     )
-    reply = await node.coordinator.placing.place(request)
-    return answers.answer_of_reply(asked.request_id, reply)
+    reply = await node.coordinator.dispatcher.dispatch(request)
+    return answers.answer_of_reply(submit_request.request_id, reply)
 
 
 async def recorded_entry(node, request_id):
     """Returns the entry of a recorded request.
 
-    An entry that is not folded here yet is looked for at the log's end,
-    as the request may just have been accepted by another entry host.
+    If the replayed state has no entry, the control log is read to its end
+    first, as another entry host may just have accepted the request.
 
     Raises:
-        UnknownRequest: The ledger has no entry of it.
-        OutcomeUnknown: The log does not answer, so that nobody can tell.
+        Starting: The process is still starting.
+        UnknownRequest: The control log has no record of the request.
+        OutcomeUnknown: The control log did not answer in time, so there may
+            be a record of the request.
     """
     require_ready(node)
     entry = node.tail.state.requests.get(request_id)
     if entry is None:
-        confirmed = await node.tail.confirm(timeout_s=CONFIRM_TIMEOUT_S)
+        caught_up = await node.tail.catch_up(timeout_s=CATCH_UP_TIMEOUT_S)
         entry = node.tail.state.requests.get(request_id)
         if entry is None:
-            raise unknown_request(confirmed)
+            raise missing_entry_error(caught_up)
     return entry
 
 
-def unknown_request(confirmed):
-    """Builds the error of a request that the ledger does not show."""
-    if confirmed:
+def missing_entry_error(caught_up):
+    """Returns the error for a request without an entry.
+
+    Args:
+        caught_up: Whether the control log has been read to its end.
+    """
+    if caught_up:
         return exception.UnknownRequest(
-            message="The ledger has no record of this request.",
-            remedy="Submit it again under the same id with attempt 2.",
+            message="There is no record of this request.",
+            remedy="Submit it again with the same request id and attempt 2.",
         )
     return exception.OutcomeUnknown(
-        message="The log does not answer, and this host has no record.",
-        remedy="Ask again when the log is back.",
+        message="The control log did not answer, and this entry host has no "
+        "record of the request.",
+        remedy="Make the call again after retry_after_ms.",
         retry_after_ms=clock.MILLISECONDS,
     )
 
@@ -145,14 +189,14 @@
 async def status(node, request):
     """Reports the state of a recorded request without waiting."""
     entry = await recorded_entry(node, request.match_info["request_id"])
-    return codec.json_response(status_of(node, entry))
+    return codec.json_response(status_answer(node, entry))
 
 
-def status_of(node, entry):
-    """Returns the state of a recorded request as an answer."""
+def status_answer(node, entry):
+    """Returns the state of a recorded request as an ``Answer``."""
     outcome = entry.outcome
     if outcome is None:
-        running = entry.request_id in node.coordinator.running
+        running = entry.request_id in node.coordinator.running_replies
         outcome = messages.Outcome.accepted
         if running:
             outcome = messages.Outcome.running
@@ -168,11 +212,13 @@
 async def wait(node, request):
     """Waits for the final answer of a recorded request."""
     entry = await recorded_entry(node, request.match_info["request_id"])
-    asked = messages.SubmitRequest(
+    submit_request = messages.SubmitRequest(
         request_id=entry.request_id, kind=entry.kind, team=entry.team
     )
-    deadline_ms = clock.monotonic_ms() + WAIT_S * clock.MILLISECONDS
-    answer = await node.coordinator.follow(asked, deadline_ms)
+    deadline_ms = clock.monotonic_ms() + ANSWER_TIMEOUT_S * clock.MILLISECONDS
+    answer = await node.coordinator.wait_for_answer(
+        submit_request, deadline_ms
+    )
     return codec.json_response(answer)
 
 
@@ -180,53 +226,80 @@
     "POST", "/v1/requests/{request_id}/cancel", registry.Role.CALLER
 )
 async def cancel(node, request):
-    """Cancels a request; a running task is stopped."""
+    """Cancels a request and stops its running tasks.
+
+    The owners of all racks are called in turn until one has the request, as
+    no record says which rack it was placed on.
+    """
     require_ready(node)
     request_id = request.match_info["request_id"]
     entry = node.tail.state.requests.get(request_id)
     if entry is not None and not control_state.is_open(entry):
-        return codec.json_response(status_of(node, entry))
+        return codec.json_response(status_answer(node, entry))
     lane = messages.Lane.urgent
     for rack in list(node.hosts.racks):
-        reply = await cancel_at(node, rack, request_id, lane)
+        reply = await cancel_on_rack(node, rack, request_id, lane)
         if reply is None or reply.status is frames.ReplyStatus.REFUSED:
             continue
-        return codec.json_response(cancel_answer(node, entry, reply))
+        return codec.json_response(answer_cancellation(node, entry, reply))
     if entry is None:
         raise exception.UnknownRequest(
-            message="No owner of a rack holds this request.",
-            remedy="It has ended, or it was never accepted.",
+            message="No owner of a rack has this request.",
+            remedy="Check the request id; it has ended or was never accepted.",
         )
     raise exception.OutcomeUnknown(
         message="The owner of the request could not be reached.",
-        remedy="Cancel again in a moment.",
+        remedy="Cancel it again after retry_after_ms.",
         retry_after_ms=clock.MILLISECONDS,
     )
 
 
-async def cancel_at(node, rack, request_id, lane):
-    """Asks the owner of a rack to cancel; None if it is not reached."""
-    owner = node.coordinator.placing.live_owner(rack)
+async def cancel_on_rack(node, rack, request_id, lane):
+    """Cancels a request at the owner of a rack.
+
+    A redirected request is cancelled at the rack that it was redirected to.
+
+    Args:
+        node: This process.
+        rack: Name of the rack.
+        request_id: Identifier of the request.
+        lane: Priority lane of the call.
+
+    Returns:
+        The owner's reply; None if the rack has no live owner, or if the
+        owner did not answer or no longer owns the rack.
+    """
+    owner = node.coordinator.dispatcher.live_owner(rack)
     if owner is None:
         return None
     frame = frames.CancelFrame(serial=0, rack=rack, request_id=request_id)
     try:
-        reply = await node.call_member(owner, lane, frame, timeout_s=WAIT_S)
+        reply = await node.call_member(
+            owner, lane, frame, timeout_s=ANSWER_TIMEOUT_S
+        )
     except (exception.LinkNotOpen, exception.LinkLost, TimeoutError):
         return None
     if reply.status is frames.ReplyStatus.MOVED:
         return None
     if reply.status is frames.ReplyStatus.REDIRECT:
-        return await cancel_at(node, reply.rack, request_id, lane)
+        return await cancel_on_rack(node, reply.rack, request_id, lane)
     return reply
 
 
-def cancel_answer(node, entry, reply):
-    """Returns the answer to a cancellation and records it."""
+def answer_cancellation(node, entry, reply):
+    """Returns the answer to a cancellation.
+
+    A cancelled request with an entry is recorded as done on the control log.
+
+    Args:
+        node: This process.
+        entry: Entry of the request, or None if it was not recorded.
+        reply: Reply of the owner of the rack.
+    """
     outcome = answers.OUTCOME_BY_STATUS[reply.status]
     request_id = entry.request_id if entry else ""
     if entry is not None and outcome is messages.Outcome.cancelled:
-        node.appender.append_later(
+        node.appender.append_in_background(
             records.Done(request_id=request_id, outcome=outcome)
         )
     return messages.Answer(
@@ -241,17 +314,23 @@
     "GET", "/v1/requests/{request_id}/explain", registry.Role.CALLER
 )
 async def explain(node, request):
-    """Tells why a request waits, or where and why it was placed."""
+    """Returns the events of a request from all live members, oldest first.
+
+    They say why a request waits, or where and why it was placed.
+    """
     request_id = request.match_info["request_id"]
     found = node.events.events(request_id)
     for events in await asyncio.gather(
-        *(ask_events(node, peer, request_id) for peer in peers_of(node))
+        *(
+            fetch_peer_events(node, peer, request_id)
+            for peer in alive_peers(node)
+        )
     ):
         found.extend(events)
     if not found:
         raise exception.UnknownRequest(
-            message="No member remembers this request.",
-            remedy="Check the request id; old requests are forgotten.",
+            message="No reachable member has events of this request.",
+            remedy="Check the request id; events of old requests are dropped.",
         )
     found.sort(key=lambda event: event.at_ms)
     return codec.json_response(
@@ -259,23 +338,33 @@
     )
 
 
-def peers_of(node):
-    """Returns the other members that count as alive."""
+def alive_peers(node):
+    """Returns the other members that are considered alive."""
     members = node.view.alive_members()
     return [m for m in members if not node.view.is_self(m)]
 
 
-async def ask_events(node, peer, request_id):
-    """Returns what a peer remembers of a request."""
+async def fetch_peer_events(node, peer, request_id):
+    """Returns the events of a request from a peer; none if it fails."""
     path = f"/peer/events/{request_id}"
-    body = await ask_peer(node, peer, path)
+    body = await get_from_peer(node, peer, path)
     if body is None:
         return []
     return EXPLANATION_DECODER.decode(body).events
 
 
-async def ask_peer(node, peer, path):
-    """Returns the body of a peer's answer, or None."""
+async def get_from_peer(node, peer, path):
+    """Makes a GET call to a peer.
+
+    Args:
+        node: This process.
+        peer: Member to call.
+        path: URL path of the call.
+
+    Returns:
+        The body of the reply; None if the peer did not answer within
+        ``PEER_TIMEOUT_S`` or answered with another status than 200.
+    """
     url = f"http://{node.resolve(peer.address)}{path}"
     timeout = aiohttp.ClientTimeout(total=PEER_TIMEOUT_S)
     try:
