--- a/packages/cicadafold-standins/src/cicadafold_standins/bench.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/bench.py
@@ -72,7 +72,7 @@
         """Measures what an idle entry host costs."""
         self.say("at rest")
         await asyncio.sleep(WARM_UP_S)
-        entries = self.cell.running_entries()
+        entries = self.cell.running_entry_hosts()
         cpu = [processes.cpu_seconds(e.pid) for e in entries]
         sent = [processes.sent_bytes(e.pid) for e in entries]
         await asyncio.sleep(REST_DURATION_S)
@@ -95,13 +95,13 @@
     async def measure_relay(self):
         """Measures the processor time of the bare relay per request."""
         self.say("bare relay")
-        address = self.cell.port()
+        address = self.cell.free_address()
         arguments = ["--listen", address]
         for host in self.cell.hosts:
             arguments += ["--worker", host.address]
         relay = processes.Process(
             name="relay",
-            arguments=self.cell.python("relay", *arguments),
+            arguments=self.cell.stand_in_command("relay", *arguments),
             log_path=self.cell.folder / "relay.log",
         )
         await relay.start()
@@ -131,7 +131,7 @@
     async def measure_load(self, name, addresses, rate_per_s, duration_s):
         """Offers load and measures processor time and answer times."""
         self.say(f"{name} load, {rate_per_s:.0f} requests a second")
-        entries = self.cell.running_entries()
+        entries = self.cell.running_entry_hosts()
         before = sum(processes.cpu_seconds(e.pid) for e in entries)
         result = await self.offer(addresses, rate_per_s, duration_s)
         used = sum(processes.cpu_seconds(e.pid) for e in entries) - before
@@ -176,7 +176,7 @@
         for address in addresses:
             arguments += ["--address", address]
         process = await asyncio.create_subprocess_exec(
-            *self.cell.python("load", *arguments),
+            *self.cell.stand_in_command("load", *arguments),
             stdout=asyncio.subprocess.PIPE,
         )
         output, _ = await process.communicate()
--- a/packages/cicadafold-standins/src/cicadafold_standins/callers.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/callers.py
@@ -47,8 +47,8 @@
     worker: str = ""
     waited_us: int = 0
     decision_us: int = 0
-    told_not_run: int = 0
-    broken: int = 0
+    not_run_replies: int = 0
+    broken_connections: int = 0
     attempts: int = 0
     last_error: str = ""
 
@@ -67,13 +67,13 @@
     """
 
     def __init__(
-        self, *, address, region, plan, seed, patience_s=40.0, label=""
+        self, *, address, region, plan, seed, retry_window_s=40.0, label=""
     ):
         self.url = f"http://{address}/v1/requests"
         self.region = region
         self.plan = plan
-        self.random = random.Random(seed)
-        self.patience_s = patience_s
+        self.rng = random.Random(seed)
+        self.retry_window_s = retry_window_s
         self.records = []
         self.tasks = set()
         self.session = aiohttp.ClientSession(
@@ -87,31 +87,31 @@
         """Closes the connections."""
         await self.session.close()
 
-    async def offer(self, *, duration_s, scale=1.0):
+    async def generate_load(self, *, duration_s, scale=1.0):
         """Offers the plan's load for a time, each kind on its own."""
         await asyncio.gather(
             *(
-                self.offer_kind(kind, load.rate_per_s * scale, duration_s)
+                self.generate_kind(kind, load.rate_per_s * scale, duration_s)
                 for kind, load in self.plan.loads.items()
             )
         )
 
-    async def offer_kind(self, kind, rate_per_s, duration_s):
+    async def generate_kind(self, kind, rate_per_s, duration_s):
         """Starts requests of a kind at random times, open loop."""
         due_s = time.monotonic()
         end_s = due_s + duration_s
         while True:
-            due_s += self.random.expovariate(rate_per_s)
+            due_s += self.rng.expovariate(rate_per_s)
             if due_s >= end_s:
                 return
             await asyncio.sleep(max(0.0, due_s - time.monotonic()))
-            self.begin(kind, due_s)
+            self.start_request(kind, due_s)
 
-    def begin(self, kind, due_s):
+    def start_request(self, kind, due_s):
         """Starts one request."""
         self.serial += 1
         low, high = self.plan.loads[kind].run_ms
-        run_ms = round(self.random.uniform(low, high), 1)
+        run_ms = round(self.rng.uniform(low, high), 1)
         record = CallRecord(
             request_id=f"{self.prefix}-{self.serial}",
             kind=kind,
@@ -119,29 +119,29 @@
             due_s=due_s,
         )
         self.records.append(record)
-        task = asyncio.create_task(self.call(record))
+        task = asyncio.create_task(self.submit_until_final(record))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def finish(self):
+    async def wait_for_answers(self):
         """Waits for the answers of all requests."""
         while self.tasks:
             await asyncio.wait(set(self.tasks))
 
-    async def call(self, record):
+    async def submit_until_final(self, record):
         """Repeats one request until it has a final answer."""
-        end_s = record.due_s + self.patience_s
-        team = self.random.choice(self.plan.teams).name
+        end_s = record.due_s + self.retry_window_s
+        team = self.rng.choice(self.plan.teams).name
         while record.outcome is None and time.monotonic() < end_s:
             record.attempts += 1
-            pause_s = await self.attempt(record, team)
+            pause_s = await self.submit_once(record, team)
             if record.outcome is None:
                 await asyncio.sleep(pause_s)
         record.answered_s = time.monotonic()
-        if record.outcome is None and record.told_not_run:
+        if record.outcome is None and record.not_run_replies:
             record.outcome = messages.Outcome.not_run
 
-    async def attempt(self, record, team):
+    async def submit_once(self, record, team):
         """Makes one attempt and returns the pause before the next."""
         asked = messages.SubmitRequest(
             request_id=record.request_id,
@@ -155,13 +155,13 @@
         try:
             async with self.session.post(self.url, data=body) as reply:
                 content = await reply.read()
-                return self.note(record, reply.status, content)
+                return self.record_reply(record, reply.status, content)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            record.broken += 1
+            record.broken_connections += 1
             record.last_error = repr(error)
             return RETRY_PAUSE_S
 
-    def note(self, record, status, content):
+    def record_reply(self, record, status, content):
         """Notes an answer and returns the pause before another attempt."""
         if status in (STATUS_DONE, STATUS_ACCEPTED):
             answer = ANSWER_DECODER.decode(content)
@@ -174,14 +174,14 @@
             return RETRY_PAUSE_S
         error = ERROR_DECODER.decode(content)
         record.last_error = error.error.message
-        if error.outcome in FINAL and self.is_settled(record, error):
+        if error.outcome in FINAL and self.is_final(record, error):
             record.outcome = error.outcome
         if error.outcome is messages.Outcome.not_run:
-            record.told_not_run += 1
+            record.not_run_replies += 1
         pause_ms = error.error.retry_after_ms or RETRY_PAUSE_S * MILLISECONDS
         return min(MAX_RETRY_PAUSE_S, pause_ms / MILLISECONDS)
 
-    def is_settled(self, record, error):
+    def is_final(self, record, error):
         """Whether the caller gives up after an unknown outcome.
 
         A request of a kind that the plan knows as idempotent is repeated;
--- a/packages/cicadafold-standins/src/cicadafold_standins/capacity.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/capacity.py
@@ -77,7 +77,7 @@
     async with cell:
         await asyncio.sleep(4.0)
         owner = await cell.owner_of("rack-1")
-        others = [e for e in cell.running_entries() if e is not owner]
+        others = [e for e in cell.running_entry_hosts() if e is not owner]
         cpu = [processes.cpu_seconds(e.pid) for e in others]
         sent = [processes.sent_bytes(e.pid) for e in others]
         began_s = time.monotonic()
--- a/packages/cicadafold-standins/src/cicadafold_standins/verdict.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/checker.py
@@ -10,14 +10,20 @@
 
 from cicadafold_standins import worker as worker_standin
 
-__all__ = ["KindRow", "Problem", "Promise", "Verdict", "judge"]
+__all__ = [
+    "KindSummary",
+    "Violation",
+    "Guarantee",
+    "CheckResult",
+    "check_records",
+]
 
 Outcome = messages.Outcome
 OVERLAP_TOLERANCE_S = 0.001
 MILLISECONDS = 1000
 
 
-class Promise(enum.Enum):
+class Guarantee(enum.Enum):
     """What must always hold."""
 
     NO_OVERFILL = "no host is overfilled"
@@ -30,14 +36,14 @@
     CONFIGURATION = "accepted configuration is in force and stays"
 
 
-class Problem(msgspec.Struct, kw_only=True):
+class Violation(msgspec.Struct, kw_only=True):
     """A broken promise and where it shows."""
 
-    promise: Promise
+    guarantee: Guarantee
     text: str
 
 
-class KindRow(msgspec.Struct, kw_only=True):
+class KindSummary(msgspec.Struct, kw_only=True):
     """Counts and times of one kind."""
 
     kind: str
@@ -57,16 +63,16 @@
     decision_p99_ms: float = 0.0
 
 
-class Verdict(msgspec.Struct, kw_only=True):
+class CheckResult(msgspec.Struct, kw_only=True):
     """What was promised and what the records show."""
 
-    kinds: list[KindRow]
+    kinds: list[KindSummary]
     overfills: int = 0
     given_twice: int = 0
     starts_while_leaving: int = 0
     peak_connections: int = 0
     slot_seconds: float = 0.0
-    problems: list[Problem] = []
+    violations: list[Violation] = []
 
 
 def percentile(values, share):
@@ -82,7 +88,7 @@
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
-def judge(records, worker_records, kinds, *, since_s=0.0):
+def check_records(records, worker_records, kinds, *, since_s=0.0):
     """Compares what callers were told with what workers ran.
 
     Args:
@@ -105,53 +111,53 @@
         if not run.given_twice:
             request_id = task_ids.request_id_of(run.task_id)
             by_request[request_id][run.task_id].append(run)
-    verdict = Verdict(
+    verdict = CheckResult(
         kinds=[],
         overfills=sum(run.overfill for run in runs),
         given_twice=sum(run.given_twice for run in runs),
         starts_while_leaving=sum(run.leaving for run in runs),
         peak_connections=max((r.connections for r in runs), default=0),
         slot_seconds=sum(max(0.0, r.ended_s - r.started_s) for r in runs),
-        problems=[],
+        violations=[],
     )
-    note_starts(verdict, runs)
+    check_starts(verdict, runs)
     for kind in kinds:
         mine = [record for record in records if record.kind == kind.name]
-        verdict.kinds.append(kind_row(kind, mine, by_request, verdict))
+        verdict.kinds.append(summarize_kind(kind, mine, by_request, verdict))
     return verdict
 
 
-def note_starts(verdict, runs):
+def check_starts(verdict, runs):
     """Notes the starts that a worker should not have been given."""
     for run in runs:
         if run.overfill:
             text = f"{run.task_id} was started on a full worker"
-            note(verdict, Promise.NO_OVERFILL, text)
+            add_violation(verdict, Guarantee.NO_OVERFILL, text)
         if run.leaving:
             text = f"{run.task_id} was started on a leaving worker"
-            note(verdict, Promise.LEAVING, text)
+            add_violation(verdict, Guarantee.LEAVING, text)
 
 
-def note(verdict, promise, text):
+def add_violation(verdict, guarantee, text):
     """Adds a problem to the verdict."""
-    verdict.problems.append(Problem(promise=promise, text=text))
+    verdict.violations.append(Violation(guarantee=guarantee, text=text))
 
 
-def kind_row(kind, records, by_request, verdict):
+def summarize_kind(kind, records, by_request, verdict):
     """Returns the row of one kind and notes its problems."""
-    row = KindRow(kind=kind.name, accepted=len(records))
+    row = KindSummary(kind=kind.name, accepted=len(records))
     for record in records:
         count_outcome(row, record)
         found = list(by_request.get(record.request_id, {}).values())
-        for promise, text in problems(kind, record, found):
+        for guarantee, text in violations(kind, record, found):
             shown = f"{record.request_id} ({kind.name}): {text}"
-            note(verdict, promise, shown)
-            row.lost += promise is Promise.WHOLE_ANSWER
-            row.doubled += promise in (
-                Promise.ONE_PLACE,
-                Promise.AT_MOST_ONCE,
+            add_violation(verdict, guarantee, shown)
+            row.lost += guarantee is Guarantee.WHOLE_ANSWER
+            row.doubled += guarantee in (
+                Guarantee.ONE_PLACE,
+                Guarantee.AT_MOST_ONCE,
             )
-    fill_times(row, [r for r in records if r.outcome is Outcome.done])
+    set_latencies(row, [r for r in records if r.outcome is Outcome.done])
     return row
 
 
@@ -163,7 +169,7 @@
     row.failed += record.outcome is Outcome.failed
 
 
-def fill_times(row, done):
+def set_latencies(row, done):
     """Fills in the times of the requests that are done."""
     answer = [(r.answered_s - r.due_s) * MILLISECONDS for r in done]
     waiting = [r.waited_us / MILLISECONDS for r in done]
@@ -178,7 +184,7 @@
         setattr(row, f"{name}_p99_ms", round(percentile(values, 0.99), 2))
 
 
-def problems(kind, record, found):
+def violations(kind, record, found):
     """Yields promises that are broken for one request, with the reason.
 
     Args:
@@ -188,19 +194,19 @@
     """
     if record.outcome is None:
         text = f"no final answer ({record.last_error})"
-        yield Promise.WHOLE_ANSWER, text
+        yield Guarantee.WHOLE_ANSWER, text
     if record.outcome is Outcome.not_run and found:
-        yield Promise.HONEST_NOT_RUN, "told not run, but it ran"
+        yield Guarantee.HONEST_NOT_RUN, "told not run, but it ran"
     if record.outcome is Outcome.done:
-        yield from done_problems(kind, record, found)
+        yield from find_answer_violations(kind, record, found)
     for runs in found:
         if not kind.idempotent and len(runs) > 1:
-            yield Promise.AT_MOST_ONCE, f"ran {len(runs)} times"
-        if overlap(runs):
-            yield Promise.ONE_PLACE, "two runs at the same time"
+            yield Guarantee.AT_MOST_ONCE, f"ran {len(runs)} times"
+        if runs_overlap(runs):
+            yield Guarantee.ONE_PLACE, "two runs at the same time"
 
 
-def done_problems(kind, record, found):
+def find_answer_violations(kind, record, found):
     """Yields what is broken about a request that was answered."""
     ended = [
         runs
@@ -209,7 +215,7 @@
     ]
     if len(ended) < kind.tasks:
         text = f"answered, but {len(ended)} of {kind.tasks} tasks ran"
-        yield Promise.WHOLE_ANSWER, text
+        yield Guarantee.WHOLE_ANSWER, text
     expected = ",".join(
         worker_standin.expected_result(
             task_ids.task_id(record.request_id, index, kind.tasks),
@@ -219,10 +225,10 @@
     )
     if record.result != expected:
         text = f"the answer is not its own: {record.result[:60]!r}"
-        yield Promise.WHOLE_ANSWER, text
+        yield Guarantee.WHOLE_ANSWER, text
 
 
-def overlap(runs):
+def runs_overlap(runs):
     """Whether two runs of one task were under way at the same time."""
     ordered = sorted(runs, key=lambda run: run.started_s)
     for earlier, later in zip(ordered, ordered[1:], strict=False):
--- a/packages/cicadafold-standins/src/cicadafold_standins/demo.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/demo.py
@@ -11,9 +11,9 @@
 
 from cicadafold_standins import callers
 from cicadafold_standins import cells
+from cicadafold_standins import checker
 from cicadafold_standins import processes
 from cicadafold_standins import testcell
-from cicadafold_standins import verdict
 
 __all__ = ["main"]
 
@@ -34,7 +34,7 @@
         self.plan = plan
         self.load_s = load_s
         self.began_s = time.monotonic()
-        self.problems = []
+        self.violations = []
         self.change_s = None
 
     def say(self, text):
@@ -58,7 +58,9 @@
                     plan=self.plan,
                     seed=DEMO_SEED + index,
                 )
-                for index, (region, address) in enumerate(cell.callers.items())
+                for index, (region, address) in enumerate(
+                    cell.balancers.items()
+                )
             ]
             self.say(f"Callers offer load for {self.load_s:.0f} s.")
             faults = asyncio.create_task(self.make_faults(cell))
@@ -66,12 +68,14 @@
             shares = (2 / 3, 1 / 3)
             await asyncio.gather(
                 *(
-                    group.offer(duration_s=self.load_s, scale=share)
+                    group.generate_load(duration_s=self.load_s, scale=share)
                     for group, share in zip(groups, shares, strict=True)
                 )
             )
             self.say("The load has ended. Waiting for the last answers.")
-            await asyncio.gather(*(group.finish() for group in groups))
+            await asyncio.gather(
+                *(group.wait_for_answers() for group in groups)
+            )
             await faults
             progress.cancel()
             for group in groups:
@@ -113,7 +117,7 @@
         self.say(f"Changing the configuration: status {status}.")
 
         async def in_force():
-            for entry in cell.running_entries():
+            for entry in cell.running_entry_hosts():
                 body = await cell.get(entry.address, "/v1/configuration")
                 if body is None:
                     continue
@@ -126,9 +130,9 @@
         self.change_s = time.monotonic() - began_s
         self.say(f"Revision 2 is in force after {self.change_s:.2f} s.")
         if self.change_s > CHANGE_BOUND_S:
-            self.problems.append(
-                verdict.Problem(
-                    promise=verdict.Promise.CONFIGURATION,
+            self.violations.append(
+                checker.Violation(
+                    guarantee=checker.Guarantee.CONFIGURATION,
                     text="the change was in force too late",
                 )
             )
@@ -146,8 +150,10 @@
     async def summarize(self, cell, groups):
         """Prints the tables and returns the summary."""
         records = [r for group in groups for r in group.records]
-        found = verdict.judge(records, cell.worker_records(), self.plan.kinds)
-        found.problems.extend(self.problems)
+        found = checker.check_records(
+            records, cell.worker_records(), self.plan.kinds
+        )
+        found.violations.extend(self.violations)
         carried, log = await cell.counters()
         burn = await self.read_burn(cell)
         print_table(found)
@@ -170,8 +176,8 @@
             f"at most {log['peak_appends_per_s']} in a second"
         )
         print_burn(burn)
-        for problem in found.problems[:20]:
-            print(f"BROKEN {problem.promise.value}: {problem.text}")
+        for violation in found.violations[:20]:
+            print(f"BROKEN {violation.guarantee.value}: {violation.text}")
         return {
             "cell": self.plan.name,
             "requests": len(records),
@@ -184,12 +190,12 @@
             "log_appends": log["appends"],
             "log_append_bytes": log["append_bytes"],
             "change_in_force_s": round(self.change_s or 0.0, 3),
-            "broken": len(found.problems),
+            "broken": len(found.violations),
         }
 
     async def read_burn(self, cell):
         """Returns the burn report of the cell."""
-        entry = cell.running_entries()[0]
+        entry = cell.running_entry_hosts()[0]
         body = await cell.get(entry.address, "/v1/reports/burn")
         return msgspec.json.decode(body, type=messages.BurnReport)
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/experiment.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/experiment.py
@@ -12,12 +12,12 @@
 
 from cicadafold_schema import messages
 from cicadafold_standins import cells
+from cicadafold_standins import checker
 from cicadafold_standins import load
 from cicadafold_standins import processes
 from cicadafold_standins import prove
 from cicadafold_standins import results
 from cicadafold_standins import testcell
-from cicadafold_standins import verdict
 
 __all__ = ["Comparison", "main"]
 
@@ -164,7 +164,7 @@
         records = await self.offer(
             [mix("burst", rate, OVERLOAD_RUN_MS)], OVERLOAD_S
         )
-        done = [r for r in records if r.outcome is verdict.Outcome.done]
+        done = [r for r in records if r.outcome is checker.Outcome.done]
         attempts = sum(r.attempts for r in records)
         return {
             "offered_per_s": round(rate),
@@ -202,7 +202,7 @@
                     ],
                     region,
                 )
-                for index, region in enumerate(sorted(self.cell.callers))
+                for index, region in enumerate(sorted(self.cell.balancers))
             )
         )
         return [record for group in found for record in group]
--- a/packages/cicadafold-standins/src/cicadafold_standins/memory.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fakes.py
@@ -55,13 +55,13 @@
         self.host = host
         self.epoch = "e1"
         self.booted_ms = 0
-        self.fenced = 0
+        self.highest_fence = 0
         self.tasks = {}
         self.leases = {}
         self.silent = False
         self.lose_answers = False
         self.fail = False
-        self.hold = False
+        self.hold_tasks = False
         self.overfills = 0
         self.starts = []
         self.ended = asyncio.Event()
@@ -83,7 +83,7 @@
         )
         return exception.TargetRefused(refusal=refusal)
 
-    def answer_or_raise(self):
+    def check_reachable(self):
         if self.silent:
             raise exception.TargetUnreachable(message="silent", sent=True)
 
@@ -94,7 +94,7 @@
         self.tasks = {}
         self.leases = {}
 
-    def lapse(self):
+    def expire_leases(self):
         for task_id, until_ms in self.leases.items():
             task = self.tasks[task_id]
             running = task.state is platform.TaskState.RUNNING
@@ -109,16 +109,16 @@
         ]
 
     async def fence(self, fence):
-        self.answer_or_raise()
-        self.lapse()
-        if fence < self.fenced:
+        self.check_reachable()
+        self.expire_leases()
+        if fence < self.highest_fence:
             raise self.refuse(platform.RefusalCode.FENCED)
-        self.fenced = fence
+        self.highest_fence = fence
         return self.reply(self.tasks.values())
 
     async def start(self, task):
-        self.answer_or_raise()
-        if task.fence < self.fenced:
+        self.check_reachable()
+        if task.fence < self.highest_fence:
             raise self.refuse(platform.RefusalCode.FENCED)
         if len(self.running()) >= self.host.slots:
             self.overfills += 1
@@ -135,9 +135,9 @@
             report.state = platform.TaskState.DONE
             report.result = "r"
             raise exception.TargetUnreachable(message="lost", sent=True)
-        while self.hold and report.state is platform.TaskState.RUNNING:
+        while self.hold_tasks and report.state is platform.TaskState.RUNNING:
             await asyncio.sleep(0.01)
-            self.lapse()
+            self.expire_leases()
         if report.state is platform.TaskState.RUNNING:
             report.state = platform.TaskState.DONE
             report.result = "r"
@@ -148,9 +148,9 @@
         return self.reply([report])
 
     async def renew(self, request):
-        self.answer_or_raise()
-        self.lapse()
-        if request.fence < self.fenced:
+        self.check_reachable()
+        self.expire_leases()
+        if request.fence < self.highest_fence:
             raise self.refuse(platform.RefusalCode.FENCED)
         for task_id in request.tasks:
             if task_id in self.leases:
@@ -159,7 +159,7 @@
         return self.reply(found)
 
     async def stop(self, task_id):
-        self.answer_or_raise()
+        self.check_reachable()
         task = self.tasks.get(task_id)
         if task and task.state is platform.TaskState.RUNNING:
             task.state = platform.TaskState.STOPPED
--- a/packages/cicadafold-standins/src/cicadafold_standins/faults.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/faults.py
@@ -17,8 +17,8 @@
 
 FAULTS = {}
 
-FREEZE_S = 4.5
-HOLD_S = 2.5
+FREEZE_DURATION_S = 4.5
+FAULT_DURATION_S = 2.5
 SLOW_LOG_MS = 250
 LOST_ANSWERS_SHARE = 0.4
 
@@ -32,28 +32,28 @@
         races: Base revision and status codes of racing operators.
     """
 
-    def __init__(self, *, cell, random):
+    def __init__(self, *, cell, rng):
         self.cell = cell
-        self.random = random
-        self.races = []
+        self.rng = rng
+        self.racing_changes = []
 
-    def entry(self):
+    def random_entry_host(self):
         """Returns a random running entry host."""
-        entries = sorted(self.cell.running_entries(), key=lambda e: e.name)
-        return self.random.choice(entries)
+        entries = sorted(self.cell.running_entry_hosts(), key=lambda e: e.name)
+        return self.rng.choice(entries)
 
-    def worker(self):
+    def random_worker(self):
         """Returns a random worker."""
-        return self.cell.workers[self.random.choice(sorted(self.cell.workers))]
+        return self.cell.workers[self.rng.choice(sorted(self.cell.workers))]
 
-    async def owner(self):
+    async def random_rack_owner(self):
         """Returns the owner of a random rack."""
-        rack = self.random.choice(sorted(self.cell.layout.racks))
-        return await self.cell.owner_of(rack) or self.entry()
+        rack = self.rng.choice(sorted(self.cell.layout.racks))
+        return await self.cell.owner_of(rack) or self.random_entry_host()
 
-    def domains(self):
+    def random_domains(self):
         """Returns two random failure domains."""
-        return self.random.sample(sorted(self.cell.layout.regions), 2)
+        return self.rng.sample(sorted(self.cell.layout.regions), 2)
 
 
 def fault(name):
@@ -69,40 +69,40 @@
 @fault("kill-owner")
 async def kill_owner(context):
     """Kills the owner of a rack and starts it again later."""
-    entry = await context.owner()
+    entry = await context.random_rack_owner()
     entry.signal(signal.SIGKILL)
-    await asyncio.sleep(HOLD_S)
-    await context.cell.restart_entry(entry.name)
+    await asyncio.sleep(FAULT_DURATION_S)
+    await context.cell.restart_entry_host(entry.name)
 
 
 @fault("kill-two")
 async def kill_two(context):
     """Kills two entry hosts at once."""
-    entries = sorted(context.cell.running_entries(), key=lambda e: e.name)
-    chosen = context.random.sample(entries, 2)
+    entries = sorted(context.cell.running_entry_hosts(), key=lambda e: e.name)
+    chosen = context.rng.sample(entries, 2)
     for entry in chosen:
         entry.signal(signal.SIGKILL)
-    await asyncio.sleep(HOLD_S)
+    await asyncio.sleep(FAULT_DURATION_S)
     for entry in chosen:
-        await context.cell.restart_entry(entry.name)
+        await context.cell.restart_entry_host(entry.name)
 
 
 @fault("freeze-owner")
 async def freeze_owner(context):
     """Freezes the owner of a rack for longer than every lease."""
-    entry = await context.owner()
+    entry = await context.random_rack_owner()
     entry.signal(signal.SIGSTOP)
-    await asyncio.sleep(FREEZE_S)
+    await asyncio.sleep(FREEZE_DURATION_S)
     entry.signal(signal.SIGCONT)
 
 
 @fault("drain-owner")
 async def drain_owner(context):
     """Drains the owner of a rack and starts it again."""
-    entry = await context.owner()
+    entry = await context.random_rack_owner()
     entry.signal(signal.SIGTERM)
     await entry.process.wait()
-    await context.cell.restart_entry(entry.name)
+    await context.cell.restart_entry_host(entry.name)
 
 
 @fault("rolling-replacement")
@@ -112,36 +112,36 @@
         entry = context.cell.entries[name]
         entry.signal(signal.SIGTERM)
         await entry.process.wait()
-        await context.cell.restart_entry(name)
+        await context.cell.restart_entry_host(name)
         await context.cell.wait_ready([entry])
 
 
 @fault("cut-domains")
 async def cut_domains(context):
     """Cuts all connections between two failure domains."""
-    await hold_links(context, proxy.LinkMode.CUT)
+    await set_link_mode_temporarily(context, proxy.LinkMode.CUT)
 
 
 @fault("silence-domains")
 async def silence_domains(context):
     """Drops everything between two failure domains without a reset."""
-    await hold_links(context, proxy.LinkMode.SILENT)
+    await set_link_mode_temporarily(context, proxy.LinkMode.SILENT)
 
 
 @fault("silence-connections")
 async def silence_connections(context):
     """Silences open connections for good; new ones work."""
-    await hold_links(context, proxy.LinkMode.SILENCE_EXISTING)
+    await set_link_mode_temporarily(context, proxy.LinkMode.SILENCE_EXISTING)
 
 
-async def hold_links(context, mode):
+async def set_link_mode_temporarily(context, mode):
     """Sets the mode of the links between two domains for a while."""
-    one, other = context.domains()
+    one, other = context.random_domains()
     cell = context.cell
     names = (f"{one}>{other}", f"{other}>{one}")
     for name in names:
         await cell.set_link_mode(name, mode)
-    await asyncio.sleep(HOLD_S)
+    await asyncio.sleep(FAULT_DURATION_S)
     for name in names:
         await cell.set_link_mode(name, proxy.LinkMode.OPEN)
 
@@ -158,7 +158,7 @@
     ]
     for name in pairs:
         await context.cell.set_link_mode(name, proxy.LinkMode.SILENT)
-    await asyncio.sleep(FREEZE_S)
+    await asyncio.sleep(FREEZE_DURATION_S)
     for name in pairs:
         await context.cell.set_link_mode(name, proxy.LinkMode.OPEN)
 
@@ -166,25 +166,25 @@
 @fault("log-down")
 async def log_down(context):
     """Takes the log service down."""
-    await hold_log_faults(context, down=True)
+    await set_log_faults_temporarily(context, down=True)
 
 
 @fault("log-slow")
 async def log_slow(context):
     """Slows the log service down."""
-    await hold_log_faults(context, slow_ms=SLOW_LOG_MS)
+    await set_log_faults_temporarily(context, slow_ms=SLOW_LOG_MS)
 
 
 @fault("log-answers-lost")
 async def log_answers_lost(context):
     """Loses answers of the log after the append took effect."""
-    await hold_log_faults(context, lose_answers=LOST_ANSWERS_SHARE)
+    await set_log_faults_temporarily(context, lose_answers=LOST_ANSWERS_SHARE)
 
 
-async def hold_log_faults(context, **log_faults):
+async def set_log_faults_temporarily(context, **log_faults):
     """Sets the faults of the log service for a while."""
     await context.cell.set_log_faults(**log_faults)
-    await asyncio.sleep(HOLD_S)
+    await asyncio.sleep(FAULT_DURATION_S)
     await context.cell.set_log_faults()
 
 
@@ -193,9 +193,9 @@
     """Hides half of the workers from the platform's list."""
     cell = context.cell
     shown = cell.hosts
-    half = [host for host in shown if context.random.random() < 0.5]
+    half = [host for host in shown if context.rng.random() < 0.5]
     await cell.publish_hosts(lag_s=0.1, hosts=half or shown[:1])
-    await asyncio.sleep(HOLD_S)
+    await asyncio.sleep(FAULT_DURATION_S)
     await cell.publish_hosts(lag_s=0.1)
 
 
@@ -203,7 +203,7 @@
 async def worker_leaves(context):
     """Lets a worker leave; starts after 3 s are counted against us."""
     cell = context.cell
-    worker = context.worker()
+    worker = context.random_worker()
     worker.host.state = platform.HostState.LEAVING
     await cell.publish_hosts(lag_s=0.1)
     await asyncio.sleep(0.1 + 3.0)
@@ -217,9 +217,9 @@
 @fault("worker-fails-all")
 async def worker_fails_all(context):
     """Lets a worker fail every task that it starts."""
-    worker = context.worker()
+    worker = context.random_worker()
     await set_worker_faults(context.cell, worker, fail_all=True)
-    await asyncio.sleep(HOLD_S)
+    await asyncio.sleep(FAULT_DURATION_S)
     await set_worker_faults(context.cell, worker, fail_all=False)
 
 
@@ -236,20 +236,20 @@
 @fault("freeze-worker")
 async def freeze_worker(context):
     """Freezes a worker for longer than every lease, then thaws it."""
-    worker = context.worker()
+    worker = context.random_worker()
     worker.signal(signal.SIGSTOP)
-    await asyncio.sleep(FREEZE_S)
+    await asyncio.sleep(FREEZE_DURATION_S)
     worker.signal(signal.SIGCONT)
 
 
 @fault("kill-worker")
 async def kill_worker(context):
     """Kills a worker and starts it again."""
-    worker = context.worker()
+    worker = context.random_worker()
     if not worker.is_running():
         return
     await worker.kill()
-    await asyncio.sleep(HOLD_S / 2)
+    await asyncio.sleep(FAULT_DURATION_S / 2)
     await worker.start()
 
 
@@ -257,8 +257,8 @@
 async def lose_domain(context):
     """Loses all entry hosts and workers of a failure domain."""
     cell = context.cell
-    domain = context.random.choice(sorted(cell.layout.regions))
-    entries = [e for e in cell.running_entries() if e.domain == domain]
+    domain = context.rng.choice(sorted(cell.layout.regions))
+    entries = [e for e in cell.running_entry_hosts() if e.domain == domain]
     workers = [
         w
         for w in cell.workers.values()
@@ -267,7 +267,7 @@
     for entry in entries:
         entry.signal(signal.SIGKILL)
     await asyncio.gather(*(worker.kill() for worker in workers))
-    await asyncio.sleep(HOLD_S)
+    await asyncio.sleep(FAULT_DURATION_S)
     for process in (*workers, *entries):
         await process.start()
 
@@ -276,20 +276,20 @@
 async def operator_race(context):
     """Lets two operators change the same revision at once."""
     cell = context.cell
-    one, other = context.entry(), context.entry()
+    one, other = context.random_entry_host(), context.random_entry_host()
     shown = await cell.get(one.address, "/v1/configuration")
     if shown is None:
         return
     base = msgspec.json.decode(shown, type=messages.Configuration)
-    serial = context.random.randrange(10**9)
+    serial = context.rng.randrange(10**9)
     replies = await asyncio.gather(
-        change(cell, one, base, f"race-{serial}-a", 1),
-        change(cell, other, base, f"race-{serial}-b", 2),
+        submit_change(cell, one, base, f"race-{serial}-a", 1),
+        submit_change(cell, other, base, f"race-{serial}-b", 2),
     )
-    context.races.append((base.revision, replies))
+    context.racing_changes.append((base.revision, replies))
 
 
-async def change(cell, entry, base, change_id, headroom_slots):
+async def submit_change(cell, entry, base, change_id, headroom_slots):
     """Applies one operator's change and returns its status."""
     configuration = messages.Configuration(
         revision=base.revision,
--- a/packages/cicadafold-standins/src/cicadafold_standins/host_list.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/host_list.py
@@ -19,7 +19,7 @@
 
     def __init__(self, *, lag_s):
         self.lag_s = lag_s
-        self.visible = messages.HostList(hosts=[])
+        self.visible_hosts = messages.HostList(hosts=[])
 
     async def publish(self, request):
         """Takes the true list and shows it after the lag."""
@@ -29,9 +29,9 @@
         loop.call_later(lag_s, setattr, self, "visible", hosts)
         return web.Response()
 
-    async def show(self, request):
+    async def list_hosts(self, request):
         """Shows the list as it was some time ago."""
-        return serving.json_response(self.visible)
+        return serving.json_response(self.visible_hosts)
 
 
 def make_app(arguments):
@@ -39,11 +39,11 @@
     service = HostListService(lag_s=arguments.lag_s)
     if arguments.file:
         with open(arguments.file, "rb") as source:
-            service.visible = msgspec.json.decode(
+            service.visible_hosts = msgspec.json.decode(
                 source.read(), type=messages.HostList
             )
     app = web.Application()
-    app.router.add_get("/hosts", service.show)
+    app.router.add_get("/hosts", service.list_hosts)
     app.router.add_post("/hosts", service.publish)
     return app
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/load.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/load.py
@@ -27,7 +27,7 @@
 
 from cicadafold_standins import callers
 from cicadafold_standins import cells
-from cicadafold_standins import verdict
+from cicadafold_standins import checker
 
 __all__ = ["LoadFile", "LoadResult", "Mix", "offer", "summarize"]
 
@@ -98,7 +98,7 @@
         by_kind[record.kind].append(record)
     kinds = {}
     for kind, found in by_kind.items():
-        done = [r for r in found if r.outcome is verdict.Outcome.done]
+        done = [r for r in found if r.outcome is checker.Outcome.done]
         outcomes = collections.Counter(
             r.outcome.value if r.outcome else "none" for r in found
         )
@@ -146,19 +146,21 @@
             region=region,
             plan=plan,
             seed=load_file.seed * 1000 + index,
-            patience_s=load_file.patience_s,
+            retry_window_s=load_file.patience_s,
             label=load_file.label,
         )
         for index, address in enumerate(addresses)
     ]
     await asyncio.gather(
         *(
-            group.offer(duration_s=load_file.duration_s, scale=1 / len(groups))
+            group.generate_load(
+                duration_s=load_file.duration_s, scale=1 / len(groups)
+            )
             for group in groups
         )
     )
     for group in groups:
-        await group.finish()
+        await group.wait_for_answers()
         await group.close()
     return [record for group in groups for record in group.records]
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/log_service.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/log_service.py
@@ -36,7 +36,7 @@
     def __init__(self):
         self.entries = collections.deque()
         self.next_offset = 1
-        self.changed = asyncio.Event()
+        self.appended = asyncio.Event()
 
     @property
     def oldest(self):
@@ -52,8 +52,8 @@
         )
         self.entries.append(entry)
         self.next_offset += 1
-        self.changed.set()
-        self.changed = asyncio.Event()
+        self.appended.set()
+        self.appended = asyncio.Event()
         return entry.offset
 
     def expire(self, *, retention_s):
@@ -83,14 +83,14 @@
         self.max_appends_per_s = max_appends_per_s
         self.streams = collections.defaultdict(Stream)
         self.faults = Faults()
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
         self.appends = 0
         self.append_bytes = 0
-        self.second = 0
+        self.current_second = 0
         self.appends_in_second = 0
         self.peak_appends_per_s = 0
 
-    async def admit(self):
+    async def apply_faults(self):
         """Applies the faults that hold for every call."""
         if self.faults.slow_ms:
             await asyncio.sleep(self.faults.slow_ms / MILLISECONDS)
@@ -100,8 +100,8 @@
     def count_append(self, size):
         """Counts an append against the rate limit."""
         second = int(time.monotonic())
-        if second != self.second:
-            self.second = second
+        if second != self.current_second:
+            self.current_second = second
             self.appends_in_second = 0
         if self.appends_in_second >= self.max_appends_per_s:
             raise web.HTTPTooManyRequests(text="append rate exceeded")
@@ -115,17 +115,17 @@
     async def append(self, request):
         """Appends the body as one entry."""
         body = await request.read()
-        await self.admit()
+        await self.apply_faults()
         self.count_append(len(body))
         stream = self.streams[request.match_info["stream"]]
         offset = stream.append(body)
-        if self.random.random() < self.faults.lose_answers:
+        if self.rng.random() < self.faults.lose_answers:
             request.transport.abort()
         return serving.json_response(messages.AppendReply(offset=offset))
 
     async def read(self, request):
         """Reads entries; waits for the first one if asked to."""
-        await self.admit()
+        await self.apply_faults()
         start = int(request.query["from"])
         wait_s = int(request.query.get("wait_ms", 0)) / MILLISECONDS
         stream = self.streams[request.match_info["stream"]]
@@ -133,10 +133,10 @@
         if start >= stream.next_offset and wait_s:
             try:
                 async with asyncio.timeout(wait_s):
-                    await stream.changed.wait()
+                    await stream.appended.wait()
             except TimeoutError:
                 pass
-            await self.admit()
+            await self.apply_faults()
         return serving.json_response(stream.read(start))
 
     async def set_faults(self, request):
--- a/packages/cicadafold-standins/src/cicadafold_standins/outage.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/outage.py
@@ -46,7 +46,9 @@
 
 async def offer(cell, label, duration_s):
     """Offers the load to all entry hosts of the first region."""
-    addresses = [e.address for e in cell.running_entries() if e.region == "r1"]
+    addresses = [
+        e.address for e in cell.running_entry_hosts() if e.region == "r1"
+    ]
     records = await load.offer(load_file(label, duration_s), addresses, "r1")
     return load.summarize(records, duration_s)
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/processes.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/processes.py
@@ -11,10 +11,10 @@
 from cicadafold_standins import worker as worker_standin
 
 __all__ = [
-    "Entry",
+    "EntryHost",
     "PortBlock",
     "Process",
-    "WorkerHost",
+    "WorkerProcess",
     "cpu_seconds",
     "resident_mb",
     "run",
@@ -79,7 +79,7 @@
             await self.process.wait()
 
 
-class Entry(Process):
+class EntryHost(Process):
     """An entry host."""
 
     def __init__(self, *, domain, region, address, **rest):
@@ -89,7 +89,7 @@
         self.address = address
 
 
-class WorkerHost(Process):
+class WorkerProcess(Process):
     """A worker; each of its runs writes a record of its own."""
 
     def __init__(self, *, host, folder, **rest):
@@ -97,7 +97,7 @@
         self.host = host
         self.address = host.address
         self.folder = folder
-        self.plain_arguments = self.arguments
+        self.base_arguments = self.arguments
         self.record_paths = []
         self.killed_s = {}
 
@@ -106,7 +106,7 @@
         path = self.folder / f"{self.name}.{len(self.record_paths)}.jsonl"
         path.touch()
         self.record_paths.append(path)
-        self.arguments = [*self.plain_arguments, "--record", str(path)]
+        self.arguments = [*self.base_arguments, "--record", str(path)]
         await super().start()
 
     async def kill(self):
--- a/packages/cicadafold-standins/src/cicadafold_standins/prove.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/prove.py
@@ -17,32 +17,38 @@
 
 from cicadafold_standins import callers
 from cicadafold_standins import cells
+from cicadafold_standins import checker
 from cicadafold_standins import faults
 from cicadafold_standins import processes
 from cicadafold_standins import testcell
-from cicadafold_standins import verdict
 
-__all__ = ["Proof", "Round", "main", "plan_round", "small_layout"]
+__all__ = [
+    "FaultInjection",
+    "RoundResult",
+    "main",
+    "plan_round",
+    "small_layout",
+]
 
 FIRST_SEED = 1
 LOAD_S = 5.0
-FAULT_AT_S = 1.0
-PATIENCE_S = 30.0
-CHANGE_BOUND_S = 3.0
+FAULT_DELAY_S = 1.0
+RETRY_WINDOW_S = 30.0
+CONFIGURATION_BOUND_S = 3.0
 SECONDS_PER_MINUTE = 60.0
 PLANNED_STOPS = ("drain-owner", "rolling-replacement")
 
-Promise = verdict.Promise
+Guarantee = checker.Guarantee
 
 
-class Round(msgspec.Struct, kw_only=True):
+class RoundResult(msgspec.Struct, kw_only=True):
     """One round of a proof and what it showed."""
 
     seed: int
     faults: tuple[str, ...]
     requests: int = 0
-    problems: list[verdict.Problem] = []
-    kinds: list[verdict.KindRow] = []
+    violations: list[checker.Violation] = []
+    kinds: list[checker.KindSummary] = []
 
 
 def small_layout():
@@ -76,46 +82,44 @@
     return tuple(random.Random(seed).sample(names, 2))
 
 
-class Proof:
+class FaultInjection:
     """Rounds on one cell."""
 
     def __init__(
-        self, *, cell, load_s=LOAD_S, scale=0.4, patience_s=PATIENCE_S
+        self, *, cell, load_s=LOAD_S, scale=0.4, retry_window_s=RETRY_WINDOW_S
     ):
         self.cell = cell
         self.load_s = load_s
         self.scale = scale
-        self.patience_s = patience_s
+        self.retry_window_s = retry_window_s
         self.revision = 1
 
     async def run(self, seed, chosen=None):
         """Runs the round of a seed and returns it."""
-        planned = Round(seed=seed, faults=plan_round(seed, chosen))
-        context = faults.FaultContext(
-            cell=self.cell, random=random.Random(seed)
-        )
+        result = RoundResult(seed=seed, faults=plan_round(seed, chosen))
+        context = faults.FaultContext(cell=self.cell, rng=random.Random(seed))
         since_s = time.monotonic()
-        groups = self.make_callers(seed)
+        groups = self.create_callers(seed)
         loads = [
             asyncio.create_task(
-                group.offer(duration_s=self.load_s, scale=self.scale)
+                group.generate_load(duration_s=self.load_s, scale=self.scale)
             )
             for group in groups
         ]
-        await asyncio.sleep(FAULT_AT_S)
+        await asyncio.sleep(FAULT_DELAY_S)
         await asyncio.gather(
-            *(faults.FAULTS[name](context) for name in planned.faults)
+            *(faults.FAULTS[name](context) for name in result.faults)
         )
         await asyncio.gather(*loads)
-        await asyncio.gather(*(group.finish() for group in groups))
+        await asyncio.gather(*(group.wait_for_answers() for group in groups))
         for group in groups:
             await group.close()
-        await self.settle()
-        self.judge(planned, groups, since_s)
-        await self.judge_configuration(planned, context)
-        return planned
+        await self.restore_cell()
+        self.check_records(result, groups, since_s)
+        await self.check_configuration(result, context)
+        return result
 
-    def make_callers(self, seed):
+    def create_callers(self, seed):
         """Returns the callers of both regions."""
         return [
             callers.Callers(
@@ -123,12 +127,12 @@
                 region=region,
                 plan=self.cell.plan,
                 seed=seed,
-                patience_s=self.patience_s,
+                retry_window_s=self.retry_window_s,
             )
-            for region, address in self.cell.callers.items()
+            for region, address in self.cell.balancers.items()
         ]
 
-    async def settle(self):
+    async def restore_cell(self):
         """Starts what is not running and waits until all is well."""
         for entry in self.cell.entries.values():
             if not entry.is_running():
@@ -136,45 +140,45 @@
         await self.cell.wait_ready(list(self.cell.entries.values()))
         await self.cell.wait_racks_owned()
 
-    def judge(self, planned, groups, since_s):
+    def check_records(self, result, groups, since_s):
         """Compares what callers were told with what workers ran."""
         records = [record for group in groups for record in group.records]
-        found = verdict.judge(
+        found = checker.check_records(
             records,
             self.cell.worker_records(),
             self.cell.plan.kinds,
             since_s=since_s,
         )
-        planned.requests = len(records)
-        planned.kinds = found.kinds
-        planned.problems = found.problems
-        if all(name in PLANNED_STOPS for name in planned.faults):
-            self.judge_graceful(planned, records)
+        result.requests = len(records)
+        result.kinds = found.kinds
+        result.violations = found.violations
+        if all(name in PLANNED_STOPS for name in result.faults):
+            self.check_planned_stop(result, records)
 
-    def judge_graceful(self, planned, records):
+    def check_planned_stop(self, result, records):
         """Notes the requests that a planned stop has cut."""
         for record in records:
-            if record.broken:
-                planned.problems.append(
-                    verdict.Problem(
-                        promise=Promise.GRACEFUL,
+            if record.broken_connections:
+                result.violations.append(
+                    checker.Violation(
+                        guarantee=Guarantee.GRACEFUL,
                         text=f"{record.request_id}: {record.last_error}",
                     )
                 )
 
-    async def judge_configuration(self, planned, context):
+    async def check_configuration(self, result, context):
         """Checks that all members hold the one accepted revision."""
-        for base, replies in context.races:
+        for base, replies in context.racing_changes:
             if replies.count(200) > 1:
-                planned.problems.append(
-                    verdict.Problem(
-                        promise=Promise.CONFIGURATION,
+                result.violations.append(
+                    checker.Violation(
+                        guarantee=Guarantee.CONFIGURATION,
                         text=f"two changes of revision {base} won",
                     )
                 )
-        end_s = time.monotonic() + CHANGE_BOUND_S
+        end_s = time.monotonic() + CONFIGURATION_BOUND_S
         while True:
-            shown = await self.revisions()
+            shown = await self.fetch_revisions()
             agreed = len(set(shown.values())) == 1
             kept = min(shown.values()) >= self.revision
             if agreed and kept:
@@ -182,16 +186,18 @@
                 return
             if time.monotonic() > end_s:
                 text = f"revisions {shown} after {self.revision}"
-                planned.problems.append(
-                    verdict.Problem(promise=Promise.CONFIGURATION, text=text)
+                result.violations.append(
+                    checker.Violation(
+                        guarantee=Guarantee.CONFIGURATION, text=text
+                    )
                 )
                 return
             await asyncio.sleep(0.1)
 
-    async def revisions(self):
+    async def fetch_revisions(self):
         """Returns the revision in force by entry host."""
         shown = {}
-        for entry in self.cell.running_entries():
+        for entry in self.cell.running_entry_hosts():
             body = await self.cell.get(entry.address, "/v1/configuration")
             if body is not None:
                 found = msgspec.json.decode(body, type=messages.Configuration)
@@ -199,38 +205,38 @@
         return shown
 
 
-def print_round(planned):
+def print_round(result):
     """Prints one line for a round, and one for each problem."""
-    verdict_word = "BROKEN" if planned.problems else "held"
-    names = " + ".join(planned.faults)
+    verdict_word = "BROKEN" if result.violations else "held"
+    names = " + ".join(result.faults)
     rows = ", ".join(
         f"{row.kind} {row.done}/{row.accepted}"
         + (f" ({row.unknown} unknown)" if row.unknown else "")
         + (f" ({row.not_run} not run)" if row.not_run else "")
         + f" p99 {row.answer_p99_ms:.0f} max {row.answer_max_ms:.0f} ms"
-        for row in planned.kinds
+        for row in result.kinds
     )
-    print(f"seed {planned.seed} {names}: {verdict_word}; {rows}", flush=True)
-    for problem in planned.problems[:10]:
-        print(f"  BROKEN {problem.promise.value}: {problem.text}")
+    print(f"seed {result.seed} {names}: {verdict_word}; {rows}", flush=True)
+    for violation in result.violations[:10]:
+        print(f"  BROKEN {violation.guarantee.value}: {violation.text}")
 
 
-def print_matrix(rounds):
+def print_summary(rounds):
     """Prints one line for each promise and fault."""
     tries = collections.Counter()
     broken = collections.defaultdict(list)
     for found in rounds:
-        hit = {problem.promise for problem in found.problems}
-        for name, promise in itertools.product(found.faults, Promise):
-            tries[(promise, name)] += 1
-            if promise in hit:
-                broken[(promise, name)].append(found.seed)
-    for (promise, name), count in sorted(
+        hit = {violation.guarantee for violation in found.violations}
+        for name, guarantee in itertools.product(found.faults, Guarantee):
+            tries[(guarantee, name)] += 1
+            if guarantee in hit:
+                broken[(guarantee, name)].append(found.seed)
+    for (guarantee, name), count in sorted(
         tries.items(), key=lambda item: (item[0][0].name, item[0][1])
     ):
-        seeds = broken[(promise, name)]
+        seeds = broken[(guarantee, name)]
         word = f"BROKEN seeds {seeds}" if seeds else "held"
-        print(f"{promise.value} | {name} | {word} | {count} tries")
+        print(f"{guarantee.value} | {name} | {word} | {count} tries")
 
 
 async def prove(arguments):
@@ -246,13 +252,13 @@
     )
     async with cell:
         print(f"logs: {cell.folder}", flush=True)
-        proof = Proof(cell=cell)
+        proof = FaultInjection(cell=cell)
         for seed in seeds:
             if len(rounds) >= arguments.rounds or time.monotonic() > end_s:
                 break
             rounds.append(await proof.run(seed, arguments.faults))
             print_round(rounds[-1])
-    print_matrix(rounds)
+    print_summary(rounds)
     return rounds
 
 
@@ -268,7 +274,7 @@
     parser.add_argument("faults", nargs="*", choices=[[], *faults.FAULTS])
     arguments = parser.parse_args()
     rounds = processes.run(prove(arguments))
-    broken = sum(bool(found.problems) for found in rounds)
+    broken = sum(bool(found.violations) for found in rounds)
     requests = sum(found.requests for found in rounds)
     print(
         f"{len(rounds)} rounds, {requests} requests, "
--- a/packages/cicadafold-standins/src/cicadafold_standins/relay.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/relay.py
@@ -31,7 +31,7 @@
         self.clients = []
         self.turn = itertools.count()
 
-    async def begin(self, app):
+    async def connect(self, app):
         """Reads the clock and epoch of each worker once."""
         session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
@@ -74,7 +74,7 @@
     """Builds the application of the relay."""
     relay = Relay(addresses=arguments.worker)
     app = web.Application()
-    app.on_startup.append(relay.begin)
+    app.on_startup.append(relay.connect)
     app.router.add_post("/v1/requests", relay.submit)
     app.router.add_get("/healthz", healthz)
     return app
--- a/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
@@ -16,7 +16,7 @@
 from cicadafold.placement import routing
 from cicadafold.platform import messages as platform
 from cicadafold_schema import messages
-from cicadafold_standins import memory
+from cicadafold_standins import fakes
 import msgspec
 import time
 import tracemalloc
@@ -44,7 +44,7 @@
     hosts = []
     for index in range(count):
         rack = index // WORKERS_PER_RACK
-        host = memory.make_host(f"w{index}", slots=64, cores=64.0)
+        host = fakes.make_host(f"w{index}", slots=64, cores=64.0)
         host.rack = f"rack-{rack}"
         host.region = f"r{rack % 5}"
         host.failure_domain = f"d{rack % 19}"
@@ -81,7 +81,7 @@
             )
         )
     made = routing.Routing(hosts=table, view=view, region="r1")
-    kind = memory.make_kind()
+    kind = fakes.make_kind()
     for number in range(routing.REQUEST_BUCKETS * 3):
         next(made.candidates(f"warm-{number}", "r1", kind, 0))
     times = []
@@ -106,11 +106,11 @@
         placement in a rack, p50 and p99.
     """
     hosts = make_hosts(count)
-    node = memory.FakeNode(
-        kinds=[memory.make_kind(lease_ms=60_000)], hosts=hosts
+    node = fakes.FakeNode(
+        kinds=[fakes.make_kind(lease_ms=60_000)], hosts=hosts
     )
     for target in node.targets.values():
-        target.hold = True
+        target.hold_tasks = True
     by_rack = {}
     for host in hosts:
         by_rack.setdefault(host.rack, []).append(host)
@@ -139,7 +139,7 @@
     for owner in owners:
         owner.retire()
     for target in node.targets.values():
-        target.hold = False
+        target.hold_tasks = False
     await asyncio.sleep(0.1)
     return (
         (after - before) / count,
@@ -222,7 +222,7 @@
 
 def measure_tasks(count):
     """Returns the megabytes of running requests at their owner."""
-    kind = memory.make_kind()
+    kind = fakes.make_kind()
     tracemalloc.start()
     works = {}
     for number in range(count):
@@ -275,7 +275,7 @@
 
 def measure_teams(count):
     """Returns the microseconds of serving the fairest team, p99."""
-    kind = memory.make_kind(lane=messages.Lane.patient)
+    kind = fakes.make_kind(lane=messages.Lane.patient)
     queue = request_queue.RequestQueue()
     for number in range(count * 4):
         queue.push(
@@ -301,7 +301,7 @@
     """Returns the kilobytes of a configuration with teams."""
     configuration = messages.Configuration(
         revision=1,
-        kinds=[memory.make_kind(f"kind-{n}") for n in range(20)],
+        kinds=[fakes.make_kind(f"kind-{n}") for n in range(20)],
         teams=[messages.Team(name=f"team-{n}") for n in range(count)],
     )
     return len(msgspec.json.encode(configuration)) / 1e3
--- a/packages/cicadafold-standins/src/cicadafold_standins/testcell.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/testcell.py
@@ -71,8 +71,8 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         self.entries = {}
         self.workers = {}
-        self.others = []
-        self.callers = {}
+        self.stand_ins = []
+        self.balancers = {}
         self.routes = []
         self.links = {}
         self.pools = {}
@@ -82,50 +82,50 @@
         self.serial = 0
         self.ports = processes.PortBlock()
         self.log_address = ""
-        self.hosts_address = ""
-        self.control_address = ""
+        self.host_list_address = ""
+        self.proxy_control_address = ""
 
     # Layout.
 
-    def port(self):
+    def free_address(self):
         """Returns an address with a free port."""
         return self.ports.address()
 
-    def python(self, module, *arguments):
+    def stand_in_command(self, module, *arguments):
         """Returns the command line of a stand-in."""
         return [sys.executable, "-m", f"cicadafold_standins.{module}"] + [
             str(argument) for argument in arguments
         ]
 
-    def plan_processes(self):
+    def assign_addresses(self):
         """Gives every process its address, and the proxy its routes."""
         domains = list(self.layout.regions)
         first = domains[0]
-        self.log_address = self.port()
-        self.hosts_address = self.port()
-        self.control_address = self.port()
+        self.log_address = self.free_address()
+        self.host_list_address = self.free_address()
+        self.proxy_control_address = self.free_address()
         for rack, (domain, count) in self.layout.racks.items():
             for index in range(count):
-                self.plan_worker(rack, domain, index)
+                self.add_worker(rack, domain, index)
         for domain, count in self.layout.entries.items():
             for _ in range(count):
-                self.plan_entry(domain)
-        placed = [(self.log_address, first), (self.hosts_address, first)]
+                self.add_entry_host(domain)
+        placed = [(self.log_address, first), (self.host_list_address, first)]
         placed += [(h.address, h.failure_domain) for h in self.hosts]
         placed += [(e.address, e.domain) for e in self.entries.values()]
         for source in domains:
             self.address_maps[source] = {}
             for address, domain in placed:
-                self.plan_route(source, domain, address)
+                self.add_route(source, domain, address)
         for region in sorted(set(self.layout.regions.values())):
-            self.plan_balancer(region)
+            self.add_balancer(region)
 
-    def plan_worker(self, rack, domain, index):
+    def add_worker(self, rack, domain, index):
         """Adds a worker to the layout."""
         name = f"{rack}-w{index + 1}"
         host = platform.HostEntry(
             name=name,
-            address=self.port(),
+            address=self.free_address(),
             rack=rack,
             failure_domain=domain,
             region=self.layout.regions[domain],
@@ -133,7 +133,7 @@
             memory_mb=self.plan.memory_mb,
         )
         self.hosts.append(host)
-        arguments = self.python(
+        arguments = self.stand_in_command(
             "worker",
             "--listen",
             host.address,
@@ -142,7 +142,7 @@
             "--memory-mb",
             host.memory_mb,
         )
-        self.workers[name] = processes.WorkerHost(
+        self.workers[name] = processes.WorkerProcess(
             host=host,
             folder=self.folder,
             name=name,
@@ -150,14 +150,14 @@
             log_path=self.folder / f"{name}.log",
         )
 
-    def plan_entry(self, domain):
+    def add_entry_host(self, domain):
         """Adds an entry host to the layout and returns it."""
         self.serial += 1
         name = f"entry-{self.serial}"
-        entry = processes.Entry(
+        entry = processes.EntryHost(
             domain=domain,
             region=self.layout.regions[domain],
-            address=self.port(),
+            address=self.free_address(),
             name=name,
             arguments=[
                 sys.executable,
@@ -171,12 +171,12 @@
         self.entries[name] = entry
         return entry
 
-    def plan_route(self, source, domain, address):
+    def add_route(self, source, domain, address):
         """Routes one address through the proxy, as seen from a domain."""
         if source == domain or not self.layout.proxied:
             return
         link = self.link_between(source, domain)
-        listen = self.port()
+        listen = self.free_address()
         self.routes.append(
             proxy.Route(listen=listen, destinations=[address], link=link)
         )
@@ -207,7 +207,7 @@
             name=name, bandwidth_bits_per_s=rate
         )
 
-    def plan_balancer(self, region):
+    def add_balancer(self, region):
         """Adds the balancer in front of a region's entry hosts."""
         name = f"callers>{region}"
         self.add_pool("callers", False)
@@ -217,14 +217,14 @@
             down="callers",
             delay_ms=self.plan.caller_delay_ms if self.layout.proxied else 0,
         )
-        listen = self.port()
+        listen = self.free_address()
         near = [e.address for e in self.entries.values() if e.region == region]
         self.routes.append(
             proxy.Route(
                 listen=listen, destinations=near, link=name, balance=True
             )
         )
-        self.callers[region] = listen
+        self.balancers[region] = listen
 
     # Start and stop.
 
@@ -245,31 +245,31 @@
             connector=aiohttp.TCPConnector(limit=0),
             timeout=aiohttp.ClientTimeout(total=10),
         )
-        self.plan_processes()
+        self.assign_addresses()
         self.write_files()
-        self.others = [
-            self.other(
+        self.stand_ins = [
+            self.stand_in_process(
                 "log_service",
                 self.log_address,
                 "--retention-s",
                 self.layout.retention_s,
             ),
-            self.other(
+            self.stand_in_process(
                 "host_list",
-                self.hosts_address,
+                self.host_list_address,
                 "--file",
                 self.folder / "hosts.json",
             ),
             self.proxy_process(),
         ]
-        started = [*self.others, *self.workers.values()]
+        started = [*self.stand_ins, *self.workers.values()]
         started += self.entries.values()
         await asyncio.gather(*(process.start() for process in started))
         await self.wait_ready(list(self.entries.values()))
-        await self.configure_first()
+        await self.apply_first_configuration()
         await self.wait_racks_owned()
 
-    async def configure_first(self):
+    async def apply_first_configuration(self):
         """Applies the first configuration.
 
         The members of the naive scheduler do not tell each other.
@@ -282,11 +282,13 @@
                 self.plan.configuration(), change_id="first", entry=entry
             )
 
-    def other(self, module, address, *arguments):
+    def stand_in_process(self, module, address, *arguments):
         """Returns the process of a stand-in."""
         return processes.Process(
             name=module,
-            arguments=self.python(module, "--listen", address, *arguments),
+            arguments=self.stand_in_command(
+                module, "--listen", address, *arguments
+            ),
             log_path=self.folder / f"{module}.log",
         )
 
@@ -294,7 +296,7 @@
         """Returns the process of the proxy."""
         return processes.Process(
             name="proxy",
-            arguments=self.python(
+            arguments=self.stand_in_command(
                 "proxy", "--settings", self.folder / "proxy.json"
             ),
             log_path=self.folder / "proxy.log",
@@ -303,7 +305,7 @@
     def write_files(self):
         """Writes the settings of all processes."""
         settings = proxy.ProxySettings(
-            control=self.control_address,
+            control=self.proxy_control_address,
             pools=list(self.pools.values()),
             links=list(self.links.values()),
             routes=self.routes,
@@ -326,7 +328,7 @@
             f'region = "{entry.region}"',
             "[platform]",
             f'log = "{self.log_address}"',
-            f'hosts = "{self.hosts_address}"',
+            f'hosts = "{self.host_list_address}"',
             f"log_retention_s = {self.layout.retention_s}",
             "[platform.routes]",
             *(f'"{k}" = "{v}"' for k, v in routes.items()),
@@ -337,7 +339,7 @@
     async def stop(self):
         """Ends all processes that were started."""
         processes = [*self.entries.values(), *self.workers.values()]
-        processes += self.others
+        processes += self.stand_ins
         for process in processes:
             if process.is_running():
                 process.signal(signal.SIGCONT)
@@ -387,7 +389,7 @@
 
         await self.wait_for(all_ready, what="entry hosts are ready")
 
-    async def show_cell(self, entry):
+    async def fetch_cell(self, entry):
         """Returns the cell as an entry host sees it, or None."""
         body = await self.get(entry.address, "/v1/cell")
         if body is None:
@@ -398,8 +400,8 @@
         """Waits until all racks have an owner whose workers are free."""
 
         async def all_owned():
-            for entry in self.running_entries():
-                shown = await self.show_cell(entry)
+            for entry in self.running_entry_hosts():
+                shown = await self.fetch_cell(entry)
                 if shown is None or not shown.racks:
                     return False
                 if not all(r.owner and r.free_slots for r in shown.racks):
@@ -408,14 +410,14 @@
 
         await self.wait_for(all_owned, what="all racks are owned")
 
-    def running_entries(self):
+    def running_entry_hosts(self):
         """Returns the entry hosts whose processes run."""
         return [e for e in self.entries.values() if e.is_running()]
 
     async def owner_of(self, rack):
         """Returns the entry host that owns a rack."""
-        for entry in self.running_entries():
-            shown = await self.show_cell(entry)
+        for entry in self.running_entry_hosts():
+            shown = await self.fetch_cell(entry)
             if shown is None:
                 continue
             for row in shown.racks:
@@ -427,7 +429,7 @@
 
     async def apply(self, configuration, *, change_id, base=0, entry=None):
         """Applies a configuration and returns status and body."""
-        entry = entry or self.running_entries()[0]
+        entry = entry or self.running_entry_hosts()[0]
         change = messages.ConfigurationChange(
             change_id=change_id,
             base_revision=base,
@@ -443,13 +445,13 @@
     async def set_link_mode(self, prefix, mode):
         """Sets the mode of the links whose names start with a prefix."""
         asked = proxy.FaultRequest(prefix=prefix, mode=mode)
-        await self.post(self.control_address, "/faults", asked)
+        await self.post(self.proxy_control_address, "/faults", asked)
 
     async def publish_hosts(self, *, lag_s=0.5, hosts=None):
         """Publishes a list of workers, the true one by default."""
         hosts = platform.HostList(hosts=hosts or self.hosts)
         path = f"/hosts?lag_s={lag_s}"
-        await self.post(self.hosts_address, path, hosts)
+        await self.post(self.host_list_address, path, hosts)
 
     async def mark_leaving(self, name, *, lag_s=0.5):
         """Shows a worker as leaving in the platform's list."""
@@ -458,7 +460,7 @@
                 host.state = platform.HostState.LEAVING
         await self.publish_hosts(lag_s=lag_s)
 
-    async def restart_entry(self, name):
+    async def restart_entry_host(self, name):
         """Starts an entry host's process again."""
         await self.entries[name].start()
 
@@ -468,7 +470,7 @@
 
     async def counters(self):
         """Returns the counters of the proxy and of the log."""
-        bytes_body = await self.get(self.control_address, "/counters")
+        bytes_body = await self.get(self.proxy_control_address, "/counters")
         log_body = await self.get(self.log_address, "/counters")
         return (
             msgspec.json.decode(bytes_body),
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/conftest.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/conftest.py
@@ -43,7 +43,7 @@
         future = asyncio.run_coroutine_threadsafe(coroutine, self.loop)
         return future.result(TIMEOUT_S)
 
-    async def begin(self, folder):
+    async def start(self, folder):
         plan = add_kinds(cells.CELLS["tezgah"]())
         self.cell = testcell.Cell(plan=plan, layout=self.layout, folder=folder)
         await self.cell.start()
@@ -64,14 +64,14 @@
 
 
 @pytest.fixture(scope="session")
-def running(tmp_path_factory):
+def running_cell(tmp_path_factory):
     """A cell of 3 entry hosts and 4 workers in two failure domains."""
     layout = testcell.Layout(
         entries={"d1": 2, "d2": 1},
         racks={"rack-1": ("d1", 2), "rack-2": ("d2", 2)},
         regions={"d1": "r1", "d2": "r2"},
     )
-    made = RunningCell(layout=layout)
-    made.run(made.begin(tmp_path_factory.mktemp("cell")))
-    yield made
-    made.close()
+    running_cell = RunningCell(layout=layout)
+    running_cell.run(running_cell.start(tmp_path_factory.mktemp("cell")))
+    yield running_cell
+    running_cell.close()
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_calls.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_calls.py
@@ -22,7 +22,7 @@
 SCHEMA = yaml.safe_load(generate.SCHEMA_PATH.read_text())
 
 
-def submit(running, kind="string_gauge", *, index=0, **fields):
+def submit(running_cell, kind="string_gauge", *, index=0, **fields):
     """Submits a request and returns status, message."""
     asked = messages.SubmitRequest(
         request_id=fields.pop("request_id", uuid.uuid4().hex),
@@ -30,7 +30,7 @@
         team=fields.pop("team", "schools"),
         **fields,
     )
-    return decoded(*running.post("/v1/requests", asked, index))
+    return decoded(*running_cell.post("/v1/requests", asked, index))
 
 
 def decoded(status, body):
@@ -38,26 +38,28 @@
     return status, msgspec.json.decode(body, type=kind)
 
 
-def get(running, path, kind, index=0):
-    body = running.run(running.cell.get(running.address(index), path))
+def get(running_cell, path, kind, index=0):
+    body = running_cell.run(
+        running_cell.cell.get(running_cell.address(index), path)
+    )
     return msgspec.json.decode(body, type=kind)
 
 
-def runs_of(running, request_id):
+def runs_of(running_cell, request_id):
     """Returns the runs of a request on all workers."""
     return [
         run
-        for found in running.cell.worker_records().values()
+        for found in running_cell.cell.worker_records().values()
         for run in found
         if run.task_id == request_id and not run.given_twice
     ]
 
 
 @pytest.mark.parametrize("index", [0, 1, 2])
-def test_answer_is_the_whole_answer_to_its_own_request(running, index):
+def test_answer_is_the_whole_answer_to_its_own_request(running_cell, index):
     request_id = uuid.uuid4().hex
     status, answer = submit(
-        running, request_id=request_id, payload="abc", index=index
+        running_cell, request_id=request_id, payload="abc", index=index
     )
     assert status == 200
     expected = worker_standin.expected_result(request_id, "abc")
@@ -65,7 +67,7 @@
 
 
 @pytest.mark.parametrize("kind", ["string_gauge", "cutting_sheet"])
-def test_same_id_at_all_entry_hosts_at_once_runs_once(running, kind):
+def test_same_id_at_all_entry_hosts_at_once_runs_once(running_cell, kind):
     request_id = uuid.uuid4().hex
     asked = messages.SubmitRequest(
         request_id=request_id,
@@ -78,43 +80,49 @@
     async def all_at_once():
         return await asyncio.gather(
             *(
-                running.cell.post(e.address, "/v1/requests", asked)
-                for e in running.cell.entries.values()
+                running_cell.cell.post(e.address, "/v1/requests", asked)
+                for e in running_cell.cell.entries.values()
                 for _ in range(2)
             )
         )
 
-    replies = [decoded(*reply) for reply in running.run(all_at_once())]
+    replies = [decoded(*reply) for reply in running_cell.run(all_at_once())]
     assert {status for status, _ in replies} == {200}
     assert len({answer.result for _, answer in replies}) == 1
-    assert len(runs_of(running, request_id)) == 1
+    assert len(runs_of(running_cell, request_id)) == 1
 
 
-def test_recorded_request_is_answered_again_from_the_ledger(running):
+def test_recorded_request_is_answered_again_from_the_ledger(running_cell):
     request_id = uuid.uuid4().hex
-    _, first = submit(running, "cutting_sheet", request_id=request_id)
+    _, first = submit(running_cell, "cutting_sheet", request_id=request_id)
     _, again = submit(
-        running, "cutting_sheet", request_id=request_id, index=2, attempt=2
+        running_cell,
+        "cutting_sheet",
+        request_id=request_id,
+        index=2,
+        attempt=2,
     )
     assert first.result == again.result
-    assert len(runs_of(running, request_id)) == 1
-    status = get(running, f"/v1/requests/{request_id}", messages.Answer, 1)
+    assert len(runs_of(running_cell, request_id)) == 1
+    status = get(
+        running_cell, f"/v1/requests/{request_id}", messages.Answer, 1
+    )
     assert status.outcome is Outcome.done
 
 
-def test_request_id_of_another_request_is_a_conflict(running):
+def test_request_id_of_another_request_is_a_conflict(running_cell):
     request_id = uuid.uuid4().hex
-    submit(running, "cutting_sheet", request_id=request_id)
+    submit(running_cell, "cutting_sheet", request_id=request_id)
     status, reply = submit(
-        running, "cutting_sheet", request_id=request_id, team="builders"
+        running_cell, "cutting_sheet", request_id=request_id, team="builders"
     )
     assert (status, reply.error.code) == (409, Code.request_conflict)
 
 
-def test_gang_is_answered_with_all_its_results(running):
+def test_gang_is_answered_with_all_its_results(running_cell):
     request_id = uuid.uuid4().hex
     _, answer = submit(
-        running, "voicing_plan", request_id=request_id, payload="x"
+        running_cell, "voicing_plan", request_id=request_id, payload="x"
     )
     assert answer.result == ",".join(
         worker_standin.expected_result(f"{request_id}~{i}", "x")
@@ -122,10 +130,10 @@
     )
 
 
-def test_not_waiting_returns_at_once_and_wait_gets_the_answer(running):
+def test_not_waiting_returns_at_once_and_wait_gets_the_answer(running_cell):
     request_id = uuid.uuid4().hex
     status, answer = submit(
-        running,
+        running_cell,
         "cutting_sheet",
         request_id=request_id,
         payload='{"run_ms": 300}',
@@ -133,14 +141,14 @@
     )
     assert (status, answer.outcome) == (202, Outcome.accepted)
     path = f"/v1/requests/{request_id}/wait"
-    status, answer = decoded(*running.post(path, {}, index=2))
+    status, answer = decoded(*running_cell.post(path, {}, index=2))
     assert (status, answer.outcome) == (200, Outcome.done)
 
 
-def test_service_runs_until_it_is_cancelled(running):
+def test_service_runs_until_it_is_cancelled(running_cell):
     request_id = uuid.uuid4().hex
     status, answer = submit(
-        running,
+        running_cell,
         "svc",
         request_id=request_id,
         payload='{"run_ms": 600000}',
@@ -150,21 +158,21 @@
     async def outlives_its_lease():
         await asyncio.sleep(3.0)
 
-    running.run(outlives_its_lease())
-    found = runs_of(running, request_id)
+    running_cell.run(outlives_its_lease())
+    found = runs_of(running_cell, request_id)
     assert [run.ended_s for run in found] == [0.0]
     path = f"/v1/requests/{request_id}/cancel"
-    status, answer = decoded(*running.post(path, {}, index=1))
+    status, answer = decoded(*running_cell.post(path, {}, index=1))
     assert (status, answer.outcome) == (200, Outcome.cancelled)
-    assert all(run.ended_s for run in runs_of(running, request_id))
+    assert all(run.ended_s for run in runs_of(running_cell, request_id))
 
 
-def test_explain_tells_where_and_why(running):
+def test_explain_tells_where_and_why(running_cell):
     request_id = uuid.uuid4().hex
-    _, answer = submit(running, request_id=request_id)
+    _, answer = submit(running_cell, request_id=request_id)
     for index in range(3):
         path = f"/v1/requests/{request_id}/explain"
-        found = get(running, path, messages.Explanation, index)
+        found = get(running_cell, path, messages.Explanation, index)
         text = " ".join(event.text for event in found.events)
         assert answer.worker in text and "best_fit" in text
 
@@ -178,30 +186,30 @@
     ],
 )
 def test_refused_request_was_not_run_and_names_the_remedy(
-    running, kind, fields, code
+    running_cell, kind, fields, code
 ):
     request_id = uuid.uuid4().hex
-    _, reply = submit(running, kind, request_id=request_id, **fields)
+    _, reply = submit(running_cell, kind, request_id=request_id, **fields)
     assert (reply.error.code, reply.outcome) == (code, Outcome.not_run)
     assert reply.error.remedy
-    assert runs_of(running, request_id) == []
+    assert runs_of(running_cell, request_id) == []
 
 
-def test_body_over_the_limit_has_its_own_error(running):
+def test_body_over_the_limit_has_its_own_error(running_cell):
     asked = {"request_id": "a", "kind": "k", "team": "t", "payload": "x"}
     asked["payload"] *= 2_000_000
-    status, reply = decoded(*running.post("/v1/requests", asked))
+    status, reply = decoded(*running_cell.post("/v1/requests", asked))
     assert (status, reply.error.code) == (413, Code.too_large)
 
 
 @pytest.mark.parametrize("path", ["/v2/requests", "/", "/v1/nothing"])
-def test_unknown_call_has_its_own_error(running, path):
-    status, reply = decoded(*running.post(path, {}))
+def test_unknown_call_has_its_own_error(running_cell, path):
+    status, reply = decoded(*running_cell.post(path, {}))
     assert (status, reply.error.code) == (404, Code.not_found)
 
 
-def test_two_racing_operators_get_one_winner_and_one_conflict(running):
-    base = get(running, "/v1/configuration", messages.Configuration)
+def test_two_racing_operators_get_one_winner_and_one_conflict(running_cell):
+    base = get(running_cell, "/v1/configuration", messages.Configuration)
     changes = []
     for number in (1, 2):
         changed = msgspec.structs.replace(base, headroom_slots=number)
@@ -216,22 +224,24 @@
     async def race():
         return await asyncio.gather(
             *(
-                running.cell.post(entry.address, "/v1/configuration", change)
+                running_cell.cell.post(
+                    entry.address, "/v1/configuration", change
+                )
                 for entry, change in zip(
-                    running.cell.entries.values(), changes, strict=False
+                    running_cell.cell.entries.values(), changes, strict=False
                 )
             )
         )
 
-    replies = running.run(race())
+    replies = running_cell.run(race())
     assert sorted(status for status, _ in replies) == [200, 409]
     lost = next(body for status, body in replies if status == 409)
     reply = msgspec.json.decode(lost, type=messages.ErrorReply)
     assert reply.error.code is Code.revision_conflict
     won = [status for status, _ in replies].index(200)
-    again = running.post("/v1/configuration", changes[won])
+    again = running_cell.post("/v1/configuration", changes[won])
     assert again[0] == 200
-    history = get(running, "/v1/configuration/history", messages.History)
+    history = get(running_cell, "/v1/configuration/history", messages.History)
     ids = [entry.change_id for entry in history.entries]
     assert ids.count(changes[won].change_id) == 1
 
@@ -239,8 +249,10 @@
 @pytest.mark.parametrize(
     "change", [{"placement": "no_such_policy"}, {"tasks": 3}]
 )
-def test_configuration_that_contradicts_itself_is_refused(running, change):
-    base = get(running, "/v1/configuration", messages.Configuration)
+def test_configuration_that_contradicts_itself_is_refused(
+    running_cell, change
+):
+    base = get(running_cell, "/v1/configuration", messages.Configuration)
     kind = msgspec.structs.replace(base.kinds[0], **change)
     wanted = msgspec.structs.replace(base, kinds=[kind])
     asked = messages.ConfigurationChange(
@@ -248,7 +260,7 @@
         base_revision=base.revision,
         configuration=wanted,
     )
-    status, reply = decoded(*running.post("/v1/configuration", asked))
+    status, reply = decoded(*running_cell.post("/v1/configuration", asked))
     assert (status, reply.error.code) == (422, Code.invalid)
 
 
@@ -285,8 +297,8 @@
 
 @settings(max_examples=60, deadline=None)
 @given(path=st.sampled_from(POSTS), body=JUNK | st.dictionaries(FIELDS, JUNK))
-def test_junk_gets_a_typed_error_and_runs_nothing(running, path, body):
-    status, content = running.post(path, body)
+def test_junk_gets_a_typed_error_and_runs_nothing(running_cell, path, body):
+    status, content = running_cell.post(path, body)
     reply = msgspec.json.decode(content, type=messages.ErrorReply)
     assert status in (400, 404, 409, 422)
     assert reply.outcome is Outcome.not_run
@@ -294,18 +306,18 @@
     assert str(status) in responses
 
 
-def test_bytes_that_are_not_json_are_malformed(running):
+def test_bytes_that_are_not_json_are_malformed(running_cell):
     async def post():
         async with aiohttp.ClientSession() as session:
-            url = f"http://{running.address()}/v1/requests"
+            url = f"http://{running_cell.address()}/v1/requests"
             async with session.post(url, data=b"\xff{") as reply:
                 return reply.status, await reply.read()
 
-    status, reply = decoded(*running.run(post()))
+    status, reply = decoded(*running_cell.run(post()))
     assert (status, reply.error.code) == (400, Code.malformed)
 
 
-def test_every_call_of_the_schema_is_served(running):
+def test_every_call_of_the_schema_is_served(running_cell):
     """A path of the schema never answers that there is no such call."""
 
     async def statuses():
@@ -316,13 +328,13 @@
                     if method not in ("get", "post") or "drain" in path:
                         continue
                     url = path.replace("{request_id}", "nobody")
-                    url = f"http://{running.address()}{url}"
+                    url = f"http://{running_cell.address()}{url}"
                     async with session.request(method, url) as reply:
                         body = await reply.read()
                         found[(method, path)] = (reply.status, body)
         return found
 
-    for (method, path), (status, body) in running.run(statuses()).items():
+    for (method, path), (status, body) in running_cell.run(statuses()).items():
         responses = SCHEMA["paths"][path][method]["responses"]
         assert str(status) in responses, (method, path, body)
         assert b"There is no call" not in body
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_command_line.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_command_line.py
@@ -15,12 +15,12 @@
 
 
 @pytest.fixture
-def cicadafold(running):
+def cicadafold(running_cell):
     """Returns a function that runs the command line."""
     program = pathlib.Path(sys.executable).with_name("cicadafold")
 
     def run(*arguments, address=None):
-        address = address or f"http://{running.address()}"
+        address = address or f"http://{running_cell.address()}"
         return subprocess.run(
             [program, *arguments, "--address", address],
             capture_output=True,
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_examples.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_examples.py
@@ -29,10 +29,10 @@
 
 
 @pytest.mark.parametrize("kind", ["string_gauge", "cutting_sheet"])
-def test_caller_gets_its_answer(running, kind):
+def test_caller_gets_its_answer(running_cell, kind):
     program = EXAMPLES / "submit_and_wait.py"
     done = subprocess.run(
-        [sys.executable, program, running.address(), kind, "schools"],
+        [sys.executable, program, running_cell.address(), kind, "schools"],
         capture_output=True,
         text=True,
         timeout=60,
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_operators_guide.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_operators_guide.py
@@ -32,13 +32,13 @@
 
 
 @pytest.mark.parametrize("command", COMMANDS)
-def test_command_of_the_guide(running, folder, command):
+def test_command_of_the_guide(running_cell, folder, command):
     words = shlex.split(command)
     program = pathlib.Path(sys.executable).with_name(words[0])
     done = subprocess.run(
         [program, *words[1:]],
         cwd=folder,
-        env={"CICADAFOLD_ADDRESS": f"http://{running.address()}"},
+        env={"CICADAFOLD_ADDRESS": f"http://{running_cell.address()}"},
         capture_output=True,
         text=True,
         timeout=60,
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_recovery.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_recovery.py
@@ -35,7 +35,7 @@
             folder=tmp_path_factory.mktemp("proof"),
         )
         async with cell:
-            proof = prove.Proof(cell=cell, load_s=4.0, scale=0.3)
+            proof = prove.FaultInjection(cell=cell, load_s=4.0, scale=0.3)
             return [
                 await proof.run(seed, faults)
                 for seed, faults in enumerate(chosen, start=1000)
@@ -56,7 +56,7 @@
 def test_promises_hold(proof_rounds, faults):
     found = proof_rounds[faults]
     assert found.requests > 50
-    assert found.problems == []
+    assert found.violations == []
 
 
 @pytest.fixture(scope="module")
@@ -71,8 +71,8 @@
             daemon="cicadafold_standins.naive",
         )
         async with cell:
-            proof = prove.Proof(
-                cell=cell, load_s=5.5, scale=0.4, patience_s=6.0
+            proof = prove.FaultInjection(
+                cell=cell, load_s=5.5, scale=0.4, retry_window_s=6.0
             )
             faults = (
                 "operator-race",
@@ -87,17 +87,17 @@
 @pytest.mark.parametrize(
     "promise",
     [
-        prove.Promise.NO_OVERFILL,
-        prove.Promise.ONE_PLACE,
-        prove.Promise.WHOLE_ANSWER,
-        prove.Promise.HONEST_NOT_RUN,
-        prove.Promise.AT_MOST_ONCE,
-        prove.Promise.LEAVING,
-        prove.Promise.CONFIGURATION,
+        prove.Guarantee.NO_OVERFILL,
+        prove.Guarantee.ONE_PLACE,
+        prove.Guarantee.WHOLE_ANSWER,
+        prove.Guarantee.HONEST_NOT_RUN,
+        prove.Guarantee.AT_MOST_ONCE,
+        prove.Guarantee.LEAVING,
+        prove.Guarantee.CONFIGURATION,
     ],
 )
-def test_check_reports_a_naive_scheduler(naive_round, promise):
-    assert promise in {p.promise for p in naive_round.problems}
+def test_check_reports_a_naive_scheduler(naive_round, guarantee):
+    assert guarantee in {p.guarantee for p in naive_round.violations}
 
 
 def test_check_reports_a_stop_that_cuts_requests(tmp_path):
@@ -111,13 +111,13 @@
             daemon="cicadafold_standins.naive",
         )
         async with cell:
-            proof = prove.Proof(
-                cell=cell, load_s=3.0, scale=0.6, patience_s=4.0
+            proof = prove.FaultInjection(
+                cell=cell, load_s=3.0, scale=0.6, retry_window_s=4.0
             )
             return await proof.run(2001, ["drain-owner"])
 
     found = uvloop.run(go())
-    assert prove.Promise.GRACEFUL in {p.promise for p in found.problems}
+    assert prove.Guarantee.GRACEFUL in {p.guarantee for p in found.violations}
 
 
 def tiny_cell(folder, **changes):
@@ -142,7 +142,7 @@
         team="schools",
         payload='{"run_ms": 20}',
     )
-    entry = cell.running_entries()[0]
+    entry = cell.running_entry_hosts()[0]
     status, body = await cell.post(entry.address, "/v1/requests", asked)
     kind = messages.Answer if status < 300 else messages.ErrorReply
     return msgspec.json.decode(body, type=kind)
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_security.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_security.py
@@ -75,7 +75,7 @@
 
     def write_settings(self, entry):
         super().write_settings(entry)
-        entry.tls_address = self.port()
+        entry.tls_address = self.free_address()
         lines = ["[security]"]
         lines += [f'{key} = "{value}"' for key, value in TOKENS.items()]
         lines.append(f'tls_listen = "{entry.tls_address}"')
@@ -85,7 +85,7 @@
         with open(path, "a", encoding="utf-8") as output:
             output.write("\n".join(lines) + "\n")
 
-    async def configure_first(self):
+    async def apply_first_configuration(self):
         return
 
     async def wait_racks_owned(self):
--- a/packages/cicadafold-standins/src/cicadafold_standins/worker.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/worker.py
@@ -81,7 +81,7 @@
         self.output = open(path, "ab", buffering=0) if path else None
         self.serial = 0
 
-    def begin(self, task_id, **marks):
+    def record_start(self, task_id, **marks):
         """Records a start and returns its record."""
         self.serial += 1
         record = RunRecord(
@@ -212,19 +212,19 @@
             return messages.RefusalCode.EXPIRED
         known = self.tasks.get(start.task_id)
         if known is not None and known.state in LIVE_OR_DONE:
-            self.recorder.begin(start.task_id, given_twice=True)
+            self.recorder.record_start(start.task_id, given_twice=True)
             return messages.RefusalCode.KNOWN
         return None
 
     def is_overfilled_by(self, start):
         """Whether the worker cannot hold another task."""
-        held = [task.start for task in self.running.values()]
+        running = [task.start for task in self.running.values()]
         return (
-            len(held) + 1 > self.slots
-            or sum(s.cores for s in held) + start.cores > self.cores + 1e-6
-            or sum(s.memory_mb for s in held) + start.memory_mb
+            len(running) + 1 > self.slots
+            or sum(s.cores for s in running) + start.cores > self.cores + 1e-6
+            or sum(s.memory_mb for s in running) + start.memory_mb
             > self.memory_mb
-            or sum(s.accelerators for s in held) + start.accelerators
+            or sum(s.accelerators for s in running) + start.accelerators
             > self.accelerators
         )
 
@@ -234,7 +234,7 @@
         refusal = self.check_start(start)
         if refusal is not None:
             return self.refuse(refusal)
-        record = self.recorder.begin(
+        record = self.recorder.record_start(
             start.task_id,
             overfill=self.is_overfilled_by(start),
             leaving=self.faults.leaving,
--- a/packages/cicadafold/src/cicadafold/coordination/tests/test_coordinator.py
+++ b/packages/cicadafold/src/cicadafold/coordination/tests/test_coordinator.py
@@ -7,13 +7,13 @@
 from cicadafold.coordination import request_dispatcher
 from cicadafold.ownership import task_ids
 from cicadafold_schema import messages
-from cicadafold_standins import memory
+from cicadafold_standins import fakes
 
 
 def make_request(attempt):
     return request_dispatcher.PendingRequest(
         submit=messages.SubmitRequest(request_id="q", kind="k", team="t"),
-        kind=memory.make_kind(durable=True),
+        kind=fakes.make_kind(durable=True),
         deadline_ms=0.0,
         attempt=attempt,
     )
--- a/packages/cicadafold/src/cicadafold/ownership/tests/test_rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/tests/test_rack.py
@@ -8,7 +8,7 @@
 from cicadafold.ownership import target_link
 from cicadafold.peerlink import frames
 from cicadafold_schema import messages
-from cicadafold_standins import memory
+from cicadafold_standins import fakes
 
 Status = frames.ReplyStatus
 
@@ -23,11 +23,11 @@
     def run(body, *, workers=2, slots=8, kinds=None, cores=8.0):
         async def run_body():
             hosts = [
-                memory.make_host(f"w{i}", slots=slots, cores=cores)
+                fakes.make_host(f"w{i}", slots=slots, cores=cores)
                 for i in range(workers)
             ]
-            node = memory.FakeNode(
-                kinds=kinds or [memory.make_kind()], hosts=hosts
+            node = fakes.FakeNode(
+                kinds=kinds or [fakes.make_kind()], hosts=hosts
             )
             owner = make_owner(node, term=1)
             await wait_until_ready(owner)
@@ -97,20 +97,20 @@
         starts = [t for n in node.targets.values() for t in n.starts]
         assert starts == ["q"]
 
-    run_on_rack(body, kinds=[memory.make_kind(idempotent=False)])
+    run_on_rack(body, kinds=[fakes.make_kind(idempotent=False)])
 
 
 def test_no_worker_is_overfilled_by_a_burst(run_on_rack):
     async def body(owner, node):
         for target in node.targets.values():
-            target.hold = True
+            target.hold_tasks = True
         replies = [
             asyncio.create_task(submit(owner, f"q{i}")) for i in range(40)
         ]
         await asyncio.sleep(0.1)
         running = [len(t.running()) for t in node.targets.values()]
         for target in node.targets.values():
-            target.hold = False
+            target.hold_tasks = False
         done = await asyncio.gather(*replies)
         assert running == [3, 3]
         assert all(r.status is Status.DONE for r in done)
@@ -122,7 +122,7 @@
 def test_patient_requests_leave_the_headroom_to_urgent_ones(run_on_rack):
     async def body(owner, node):
         for target in node.targets.values():
-            target.hold = True
+            target.hold_tasks = True
         patient = [
             asyncio.create_task(submit(owner, f"p{i}", kind="batch"))
             for i in range(20)
@@ -134,11 +134,11 @@
         assert "u" in starts
         assert len(starts) == 2 * 2 + 1
         for target in node.targets.values():
-            target.hold = False
+            target.hold_tasks = False
         await asyncio.gather(urgent, *patient)
 
-    batch = memory.make_kind("batch", lane=messages.Lane.patient)
-    run_on_rack(body, slots=3, kinds=[memory.make_kind(), batch])
+    batch = fakes.make_kind("batch", lane=messages.Lane.patient)
+    run_on_rack(body, slots=3, kinds=[fakes.make_kind(), batch])
 
 
 def test_duplicate_is_attached_and_runs_once(run_on_rack):
@@ -166,7 +166,7 @@
 def test_newer_owner_takes_over_running_tasks(run_on_rack):
     async def body(owner, node):
         for target in node.targets.values():
-            target.hold = True
+            target.hold_tasks = True
         asyncio.create_task(submit(owner))
         await asyncio.sleep(0.05)
         newer = make_owner(node, term=2)
@@ -175,7 +175,7 @@
         await asyncio.sleep(0.9)
         assert sum(len(t.running()) for t in node.targets.values()) == 1
         for target in node.targets.values():
-            target.hold = False
+            target.hold_tasks = False
         assert (await answer).status is Status.DONE
         starts = [t for n in node.targets.values() for t in n.starts]
         assert starts == ["q"]
@@ -222,7 +222,7 @@
         reply = await submit(newer, age_ms=age_ms, first=False)
         assert reply.status is expected
 
-    run_on_rack(body, kinds=[memory.make_kind(idempotent=idempotent)])
+    run_on_rack(body, kinds=[fakes.make_kind(idempotent=idempotent)])
 
 
 def test_worker_gets_tasks_only_after_it_is_recorded(run_on_rack):
@@ -259,13 +259,13 @@
 def test_lapsed_idempotent_task_runs_elsewhere(run_on_rack):
     async def body(owner, node):
         for target in node.targets.values():
-            target.hold = True
+            target.hold_tasks = True
         answer = asyncio.create_task(submit(owner))
         await asyncio.sleep(0.05)
         holder = next(t for t in node.targets.values() if t.starts)
         holder.silent = True
         for target in node.targets.values():
-            target.hold = target is holder
+            target.hold_tasks = target is holder
         reply = await answer
         assert reply.status is Status.DONE
         assert reply.worker != holder.host.name
@@ -279,7 +279,7 @@
     async def body(owner, node):
         node.still_owner = False
         for target in node.targets.values():
-            target.hold = True
+            target.hold_tasks = True
         answer = asyncio.create_task(submit(owner, budget_ms=2500))
         await asyncio.sleep(0.05)
         holder = next(t for t in node.targets.values() if t.starts)
@@ -294,7 +294,7 @@
 def test_lapsed_non_idempotent_task_is_never_run_again(run_on_rack):
     async def body(owner, node):
         for target in node.targets.values():
-            target.hold = True
+            target.hold_tasks = True
         answer = asyncio.create_task(submit(owner, budget_ms=2500))
         await asyncio.sleep(0.05)
         next(t for t in node.targets.values() if t.starts).silent = True
@@ -302,7 +302,7 @@
         starts = [t for n in node.targets.values() for t in n.starts]
         assert starts == ["q"]
 
-    run_on_rack(body, kinds=[memory.make_kind(idempotent=False)])
+    run_on_rack(body, kinds=[fakes.make_kind(idempotent=False)])
 
 
 def test_worker_that_fails_every_task_is_quarantined(run_on_rack):
@@ -313,32 +313,32 @@
         failing = node.targets["w0"]
         assert len(failing.starts) == target_link.QUARANTINE_FAILURES
 
-    kind = memory.make_kind(placement="first_fit")
+    kind = fakes.make_kind(placement="first_fit")
     run_on_rack(body, kinds=[kind])
 
 
 def test_gang_starts_all_or_none(run_on_rack):
     async def body(owner, node):
         for target in node.targets.values():
-            target.hold = True
+            target.hold_tasks = True
         single = asyncio.create_task(submit(owner, "s"))
         gang = asyncio.create_task(submit(owner, "g", kind="gang"))
         await asyncio.sleep(0.1)
         starts = [t for n in node.targets.values() for t in n.starts]
         assert starts == ["s"]
         for target in node.targets.values():
-            target.hold = False
+            target.hold_tasks = False
         replies = await asyncio.gather(single, gang)
         assert replies[1].result == "r,r,r,r"
 
-    gang = memory.make_kind("gang", shape=messages.Shape.gang, tasks=4)
-    run_on_rack(body, slots=2, kinds=[memory.make_kind(), gang])
+    gang = fakes.make_kind("gang", shape=messages.Shape.gang, tasks=4)
+    run_on_rack(body, slots=2, kinds=[fakes.make_kind(), gang])
 
 
 def test_cancelled_queued_request_never_starts(run_on_rack):
     async def body(owner, node):
         for target in node.targets.values():
-            target.hold = True
+            target.hold_tasks = True
         first = asyncio.create_task(submit(owner, "a"))
         second = asyncio.create_task(submit(owner, "b"))
         await asyncio.sleep(0.05)
@@ -350,7 +350,7 @@
         assert (await future).status is Status.CANCELLED
         assert (await second).status is Status.CANCELLED
         for target in node.targets.values():
-            target.hold = False
+            target.hold_tasks = False
         assert (await first).status is Status.DONE
         starts = [t for n in node.targets.values() for t in n.starts]
         assert starts == ["a"]
@@ -362,7 +362,7 @@
     run_on_rack,
 ):
     async def body(owner, node):
-        node.targets["w0"].hold = True
+        node.targets["w0"].hold_tasks = True
         waiting = [
             asyncio.create_task(
                 submit(owner, f"p{i}", kind="batch", budget_ms=600_000)
@@ -377,22 +377,22 @@
                 ),
                 lambda reply: None,
             )
-        node.targets["w0"].hold = False
+        node.targets["w0"].hold_tasks = False
         urgent = await submit(owner, "u")
         assert urgent.status is Status.DONE
         replies = await asyncio.gather(*waiting)
         assert all(r.status is Status.CANCELLED for r in replies)
 
-    batch = memory.make_kind(
+    batch = fakes.make_kind(
         "batch", lane=messages.Lane.patient, deadline_ms=60_000
     )
-    run_on_rack(body, workers=1, slots=2, kinds=[memory.make_kind(), batch])
+    run_on_rack(body, workers=1, slots=2, kinds=[fakes.make_kind(), batch])
 
 
 def test_request_that_would_miss_its_deadline_is_refused_at_once(run_on_rack):
     async def body(owner, node):
         owner.mean_run_ms[messages.Lane.urgent] = 1000.0
-        node.targets["w0"].hold = True
+        node.targets["w0"].hold_tasks = True
         running = asyncio.create_task(submit(owner, "a"))
         queued = [
             asyncio.create_task(submit(owner, f"b{i}")) for i in range(3)
@@ -401,7 +401,7 @@
         reply = await submit(owner, "c", budget_ms=1500)
         assert reply.status is Status.REFUSED
         assert reply.retry_after_ms >= 1500
-        node.targets["w0"].hold = False
+        node.targets["w0"].hold_tasks = False
         await asyncio.gather(running, *queued)
 
     run_on_rack(body, workers=1, slots=1)
--- a/packages/cicadafold/src/cicadafold/ownership/tests/test_rack_claimer.py
+++ b/packages/cicadafold/src/cicadafold/ownership/tests/test_rack_claimer.py
@@ -10,7 +10,7 @@
 from cicadafold.membership import view
 from cicadafold.ownership import assignment
 from cicadafold.ownership import rack_claimer
-from cicadafold_standins import memory
+from cicadafold_standins import fakes
 
 
 def make_claimer(domains):
@@ -31,7 +31,7 @@
             joined_at=1,
         )
     table = host_tables.HostTable(source=None, recorded=dict)
-    host = memory.make_host("w0")
+    host = fakes.make_host("w0")
     host.failure_domain = "d2"
     table.listed = [host]
     table.rebuild()
--- a/packages/cicadafold/src/cicadafold/placement/tests/test_routing.py
+++ b/packages/cicadafold/src/cicadafold/placement/tests/test_routing.py
@@ -8,7 +8,7 @@
 from cicadafold.membership import view
 from cicadafold.placement import routing
 from cicadafold_schema import messages
-from cicadafold_standins import memory
+from cicadafold_standins import fakes
 
 
 @pytest.fixture
@@ -16,7 +16,7 @@
     """Routing over two racks in region r0 and one in r1."""
     table = host_tables.HostTable(source=None, recorded=dict)
     for index, region in enumerate(("r0", "r0", "r1")):
-        host = memory.make_host(f"w{index}")
+        host = fakes.make_host(f"w{index}")
         host.rack = f"rack-{index}"
         host.region = region
         table.listed.append(host)
@@ -41,7 +41,7 @@
 
 
 def choose(made, *, wait_ms=0, lane=messages.Lane.urgent):
-    kind = memory.make_kind(lane=lane)
+    kind = fakes.make_kind(lane=lane)
     return made.find_redirect_rack(
         "rack-0", kind, wait_ms=wait_ms, price_ms=200, headroom=0
     )
@@ -73,7 +73,7 @@
 
 
 def test_home_is_the_same_on_all_members_and_stays_in_its_region(made):
-    kind = memory.make_kind()
+    kind = fakes.make_kind()
     first_racks = set()
     for number in range(200):
         found = list(made.candidates(f"q{number}", "r0", kind, 0))
@@ -87,5 +87,5 @@
     made.hosts.listed[2].cores = 64.0
     made.hosts.merged = None
     made.hosts.rebuild()
-    kind = memory.make_kind(cores=32)
+    kind = fakes.make_kind(cores=32)
     assert list(made.candidates("q", "r0", kind, 0)) == ["rack-2"]
