--- a/packages/cicadafold-standins/src/cicadafold_standins/callers.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/callers.py
@@ -48,7 +48,7 @@
     waited_us: int = 0
     decision_us: int = 0
     not_run_replies: int = 0
-    broken_connections: int = 0
+    broken: int = 0
     attempts: int = 0
     last_error: str = ""
 
@@ -157,7 +157,7 @@
                 content = await reply.read()
                 return self.record_reply(record, reply.status, content)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            record.broken_connections += 1
+            record.broken += 1
             record.last_error = repr(error)
             return RETRY_PAUSE_S
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/prove.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/prove.py
@@ -158,7 +158,7 @@
     def check_planned_stop(self, result, records):
         """Notes the requests that a planned stop has cut."""
         for record in records:
-            if record.broken_connections:
+            if record.broken:
                 result.violations.append(
                     checker.Violation(
                         guarantee=Guarantee.GRACEFUL,
