--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_recovery.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_recovery.py
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize(
-    "promise",
+    "guarantee",
     [
         prove.Guarantee.NO_OVERFILL,
         prove.Guarantee.ONE_PLACE,
