--- a/packages/cicadafold-standins/src/cicadafold_standins/outage.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/outage.py
@@ -28,13 +28,13 @@
         duration_s=duration_s,
         patience_s=2.0,
         mix=[
-            load.Mix(
+            load.MixEntry(
                 kind="string_gauge",
                 team="builders",
                 rate_per_s=URGENT_PER_S,
                 run_ms=(3.0, 25.0),
             ),
-            load.Mix(
+            load.MixEntry(
                 kind="cutting_sheet",
                 team="schools",
                 rate_per_s=DURABLE_PER_S,
@@ -44,12 +44,14 @@
     )
 
 
-async def offer(cell, label, duration_s):
+async def measure_load(cell, label, duration_s):
     """Offers the load to all entry hosts of the first region."""
     addresses = [
         e.address for e in cell.running_entry_hosts() if e.region == "r1"
     ]
-    records = await load.offer(load_file(label, duration_s), addresses, "r1")
+    records = await load.generate_load(
+        load_file(label, duration_s), addresses, "r1"
+    )
     return load.summarize(records, duration_s)
 
 
@@ -59,10 +61,10 @@
         plan=cells.CELLS["tezgah"](), layout=prove.small_layout()
     )
     async with cell:
-        normal = await offer(cell, "normal-", NORMAL_S)
+        normal = await measure_load(cell, "normal-", NORMAL_S)
         await cell.set_log_faults(down=True)
         await asyncio.sleep(1.0)
-        outage = await offer(cell, "outage-", outage_s)
+        outage = await measure_load(cell, "outage-", outage_s)
         await cell.set_log_faults()
         return normal, outage
 
