--- a/examples/submit_and_wait.py
+++ b/examples/submit_and_wait.py
@@ -11,7 +11,7 @@
 
 MAX_ATTEMPTS = 20
 DEFAULT_PAUSE_MS = 100
-MILLISECONDS = 1000
+MS_PER_S = 1000
 REPEATABLE = ("not_run", "accepted", "unanswered")
 
 
@@ -31,7 +31,7 @@
             return answer
         error = answer.get("error", {})
         pause_ms = error.get("retry_after_ms", pause_ms)
-        await asyncio.sleep(pause_ms / MILLISECONDS)
+        await asyncio.sleep(pause_ms / MS_PER_S)
     return answer
 
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/callers.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/callers.py
@@ -12,7 +12,7 @@
 
 RETRY_PAUSE_S = 0.1
 MAX_RETRY_PAUSE_S = 2.0
-MILLISECONDS = 1000
+MS_PER_S = 1000
 STATUS_DONE = 200
 STATUS_ACCEPTED = 202
 
@@ -178,8 +178,8 @@
             record.outcome = error.outcome
         if error.outcome is messages.Outcome.not_run:
             record.told_not_run += 1
-        pause_ms = error.error.retry_after_ms or RETRY_PAUSE_S * MILLISECONDS
-        return min(MAX_RETRY_PAUSE_S, pause_ms / MILLISECONDS)
+        pause_ms = error.error.retry_after_ms or RETRY_PAUSE_S * MS_PER_S
+        return min(MAX_RETRY_PAUSE_S, pause_ms / MS_PER_S)
 
     def is_settled(self, record, error):
         """Whether the caller gives up after an unknown outcome.
--- a/packages/cicadafold-standins/src/cicadafold_standins/experiment.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/experiment.py
@@ -31,12 +31,12 @@
 OVERLOAD_RUN_MS = (40.0, 60.0)
 OVERLOAD_DEADLINE_MS = 1000
 SEED = 11
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
 def mean_s(run_ms):
     """Returns the mean run time in seconds."""
-    return sum(run_ms) / 2 / MILLISECONDS
+    return sum(run_ms) / 2 / MS_PER_S
 
 
 def make_kind(name, lane, **changes):
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/store.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/store.py
@@ -17,7 +17,7 @@
 OFFSETS = struct.Struct(">QQ")
 PARTITIONS = 8
 PAGE_SIZE = 500
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 KEPT_ANSWERS = 5
 
 
@@ -192,7 +192,7 @@
         start = int(query["from"])
         if start < part.first:
             return web.json_response({"first": part.first}, status=410)
-        wait_s = int(query.get("waitMs", 0)) / MILLISECONDS
+        wait_s = int(query.get("waitMs", 0)) / MS_PER_S
         if wait_s and start >= part.end:
             try:
                 async with asyncio.timeout(wait_s):
@@ -245,7 +245,7 @@
         All partitions are assigned to the oldest member.
         """
         message = await request.json()
-        now_s = clock.monotonic_ms() / MILLISECONDS
+        now_s = clock.monotonic_ms() / MS_PER_S
         group = self.groups.setdefault(message["group"], {})
         for member, (_, until_s) in list(group.items()):
             if until_s < now_s:
@@ -254,7 +254,7 @@
         if message["member"] not in group:
             self.generation += 1
         since_s = group.get(message["member"], (now_s, 0))[0]
-        until_s = now_s + message["ttlMs"] / MILLISECONDS
+        until_s = now_s + message["ttlMs"] / MS_PER_S
         group[message["member"]] = (since_s, until_s)
         oldest = min(group, key=lambda member: group[member][0])
         rows = []
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/worker.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/worker.py
@@ -10,7 +10,7 @@
 
 __all__ = ["FleetWorker"]
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 LONGEST_LEASE_MS = 6000.0
 CHECK_INTERVAL_S = 0.01
 DEFAULT_CORES_MILLI = 1000
@@ -273,7 +273,7 @@
             if number <= acknowledged:
                 self.run_log.record_acknowledgement(task, outcome)
         self.finished = [row for row in self.finished if row[0] > acknowledged]
-        wait_s = message.get("waitMs", 0) / MILLISECONDS
+        wait_s = message.get("waitMs", 0) / MS_PER_S
         if wait_s and not self.finished:
             try:
                 async with asyncio.timeout(wait_s):
--- a/packages/cicadafold-standins/src/cicadafold_standins/load.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/load.py
@@ -35,7 +35,8 @@
 HIGHEST_US = 600_000_000
 SIGNIFICANT_DIGITS = 3
 MICROSECONDS = 1_000_000
-MILLISECONDS = 1000
+MS_PER_S = 1000
+US_PER_MS = 1000
 
 
 class Mix(msgspec.Struct, kw_only=True):
@@ -79,9 +80,9 @@
     """Returns percentiles by name, from an HDR histogram."""
     found = histogram.HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
     for value in values_ms:
-        found.record_value(max(LOWEST_US, int(value * MILLISECONDS)))
+        found.record_value(max(LOWEST_US, int(value * US_PER_MS)))
     return {
-        f"p{share:g}": found.get_value_at_percentile(share) / MILLISECONDS
+        f"p{share:g}": found.get_value_at_percentile(share) / US_PER_MS
         for share in (50, 90, 99, 99.9)
     }
 
@@ -107,12 +108,10 @@
             outcomes=dict(outcomes),
             attempts=sum(r.attempts for r in found),
             answer_ms=percentiles(
-                (r.answered_s - r.due_s) * MILLISECONDS for r in done
-            ),
-            waiting_ms=percentiles(r.waited_us / MILLISECONDS for r in done),
-            decision_ms=percentiles(
-                r.decision_us / MILLISECONDS for r in done
+                (r.answered_s - r.due_s) * MS_PER_S for r in done
             ),
+            waiting_ms=percentiles(r.waited_us / US_PER_MS for r in done),
+            decision_ms=percentiles(r.decision_us / US_PER_MS for r in done),
         )
     return LoadResult(duration_s=duration_s, kinds=kinds)
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/log_service.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/log_service.py
@@ -19,7 +19,7 @@
 __all__ = ["Faults", "LogService", "Stream"]
 
 MAX_ENTRIES_PER_READ = 2000
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 
 class Faults(msgspec.Struct, kw_only=True):
@@ -47,7 +47,7 @@
         """Appends an entry and returns its offset."""
         entry = messages.LogEntry(
             offset=self.next_offset,
-            at_ms=int(time.time() * MILLISECONDS),
+            at_ms=int(time.time() * MS_PER_S),
             body=msgspec.Raw(body),
         )
         self.entries.append(entry)
@@ -58,7 +58,7 @@
 
     def expire(self, *, retention_s):
         """Drops the entries that are older than the retention."""
-        limit = int((time.time() - retention_s) * MILLISECONDS)
+        limit = int((time.time() - retention_s) * MS_PER_S)
         while self.entries and self.entries[0].at_ms < limit:
             self.entries.popleft()
 
@@ -71,7 +71,7 @@
             entries=found,
             oldest=self.oldest,
             next_offset=self.next_offset,
-            now_ms=int(time.time() * MILLISECONDS),
+            now_ms=int(time.time() * MS_PER_S),
         )
 
 
@@ -93,7 +93,7 @@
     async def admit(self):
         """Applies the faults that hold for every call."""
         if self.faults.slow_ms:
-            await asyncio.sleep(self.faults.slow_ms / MILLISECONDS)
+            await asyncio.sleep(self.faults.slow_ms / MS_PER_S)
         if self.faults.down:
             raise web.HTTPServiceUnavailable(text="log service is down")
 
@@ -127,7 +127,7 @@
         """Reads entries; waits for the first one if asked to."""
         await self.admit()
         start = int(request.query["from"])
-        wait_s = int(request.query.get("wait_ms", 0)) / MILLISECONDS
+        wait_s = int(request.query.get("wait_ms", 0)) / MS_PER_S
         stream = self.streams[request.match_info["stream"]]
         stream.expire(retention_s=self.retention_s)
         if start >= stream.next_offset and wait_s:
--- a/packages/cicadafold-standins/src/cicadafold_standins/naive.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/naive.py
@@ -33,7 +33,7 @@
 MAX_TRIES = 3
 LEASE_MS = 60_000
 NO_FENCE = 1 << 40
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 
 class NaiveScheduler:
@@ -185,7 +185,7 @@
     reply = exception.Overloaded(
         message="No worker answered in time.",
         remedy="Submit again.",
-        retry_after_ms=MILLISECONDS,
+        retry_after_ms=MS_PER_S,
     ).reply()
     return serving.json_response(reply, status=429)
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/proxy.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/proxy.py
@@ -35,7 +35,7 @@
 HEALTH_PERIOD_S = 0.25
 HEALTH_TIMEOUT_S = 1.0
 BITS_PER_BYTE = 8
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 
 class LinkMode(enum.Enum):
@@ -116,7 +116,7 @@
     """Shared state of the connections over one link."""
 
     def __init__(self, *, settings, pools):
-        self.delay_s = settings.delay_ms / MILLISECONDS
+        self.delay_s = settings.delay_ms / MS_PER_S
         self.up = pools[settings.up]
         self.down = pools[settings.down]
         self.mode = LinkMode.OPEN
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/virtual_time.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/virtual_time.py
@@ -190,8 +190,8 @@
 def virtual_clock(loop):
     """Makes the product's clock return the time of the loop."""
     real = clock.monotonic_ms, clock.wall_ms
-    clock.monotonic_ms = lambda: loop.time() * clock.MILLISECONDS
-    clock.wall_ms = lambda: EPOCH_MS + loop.time() * clock.MILLISECONDS
+    clock.monotonic_ms = lambda: loop.time() * clock.MS_PER_S
+    clock.wall_ms = lambda: EPOCH_MS + loop.time() * clock.MS_PER_S
     try:
         yield
     finally:
--- a/packages/cicadafold-standins/src/cicadafold_standins/verdict.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/verdict.py
@@ -14,7 +14,8 @@
 
 Outcome = messages.Outcome
 OVERLAP_TOLERANCE_S = 0.001
-MILLISECONDS = 1000
+MS_PER_S = 1000
+US_PER_MS = 1000
 
 
 class Promise(enum.Enum):
@@ -165,9 +166,9 @@
 
 def fill_times(row, done):
     """Fills in the times of the requests that are done."""
-    answer = [(r.answered_s - r.due_s) * MILLISECONDS for r in done]
-    waiting = [r.waited_us / MILLISECONDS for r in done]
-    decision = [r.decision_us / MILLISECONDS for r in done if r.decision_us]
+    answer = [(r.answered_s - r.due_s) * MS_PER_S for r in done]
+    waiting = [r.waited_us / US_PER_MS for r in done]
+    decision = [r.decision_us / US_PER_MS for r in done if r.decision_us]
     row.answer_max_ms = round(max(answer, default=0.0), 2)
     for name, values in (
         ("answer", answer),
--- a/packages/cicadafold-standins/src/cicadafold_standins/worker.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/worker.py
@@ -32,7 +32,7 @@
 DEFAULT_RUN_MS = 5
 LEASE_CHECK_S = 0.02
 RETAIN_ENDED_S = 120.0
-MILLISECONDS = 1000
+MS_PER_S = 1000
 LIVE_OR_DONE = (messages.TaskState.RUNNING, messages.TaskState.DONE)
 
 
@@ -176,7 +176,7 @@
 
     def now_ms(self):
         """The worker's clock in milliseconds."""
-        return int((time.monotonic() - self.booted_s) * MILLISECONDS)
+        return int((time.monotonic() - self.booted_s) * MS_PER_S)
 
     def reply(self, tasks):
         """Builds a reply with the worker's clock."""
@@ -244,9 +244,7 @@
         self.tasks[start.task_id] = task
         self.running[start.task_id] = task
         loop = asyncio.get_running_loop()
-        loop.call_later(
-            task.behaviour.run_ms / MILLISECONDS, self.finish, task
-        )
+        loop.call_later(task.behaviour.run_ms / MS_PER_S, self.finish, task)
         await task.ended.wait()
         return self.reply([task])
 
@@ -269,7 +267,7 @@
         task.record.state = state
         ended_s = time.monotonic()
         if state is messages.TaskState.LAPSED:
-            lapsed_s = self.booted_s + task.lease_until_ms / MILLISECONDS
+            lapsed_s = self.booted_s + task.lease_until_ms / MS_PER_S
             ended_s = min(ended_s, lapsed_s)
         task.record.ended_s = ended_s
         self.recorder.write(task.record)
--- a/packages/cicadafold/src/cicadafold/cli/request_commands.py
+++ b/packages/cicadafold/src/cicadafold/cli/request_commands.py
@@ -18,7 +18,7 @@
     "WaitCommand",
 ]
 
-MILLISECONDS_PER_S = 1000
+MS_PER_S = 1000
 
 
 class AnswerCommand(base.CallCommand):
@@ -150,6 +150,6 @@
         """Yields one line for each event, with its time in UTC."""
         for event in result.events:
             at = datetime.datetime.fromtimestamp(
-                event.at_ms / MILLISECONDS_PER_S, tz=datetime.UTC
+                event.at_ms / MS_PER_S, tz=datetime.UTC
             )
             yield f"{at:%H:%M:%S.%f} {event.member}: {event.text}"
--- a/packages/cicadafold/src/cicadafold/clock.py
+++ b/packages/cicadafold/src/cicadafold/clock.py
@@ -2,21 +2,22 @@
 
 import time
 
-__all__ = ["MILLISECONDS", "WorkerClock", "monotonic_ms", "wall_ms"]
+__all__ = ["MS_PER_S", "US_PER_MS", "WorkerClock", "monotonic_ms", "wall_ms"]
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
+US_PER_MS = 1000
 # Largest relative difference between the rates of two clocks.
 MAX_DRIFT = 0.001
 
 
 def monotonic_ms():
     """Returns the reading of the monotonic clock in milliseconds."""
-    return time.monotonic() * MILLISECONDS
+    return time.monotonic() * MS_PER_S
 
 
 def wall_ms():
     """Returns Unix time in milliseconds."""
-    return time.time() * MILLISECONDS
+    return time.time() * MS_PER_S
 
 
 class WorkerClock:
--- a/packages/cicadafold/src/cicadafold/coordination/coordinator.py
+++ b/packages/cicadafold/src/cicadafold/coordination/coordinator.py
@@ -388,4 +388,4 @@
 
 def remaining_s(deadline_ms):
     """Returns the seconds until a monotonic deadline, at least 0."""
-    return max(0.0, (deadline_ms - clock.monotonic_ms()) / clock.MILLISECONDS)
+    return max(0.0, (deadline_ms - clock.monotonic_ms()) / clock.MS_PER_S)
--- a/packages/cicadafold/src/cicadafold/coordination/request_dispatcher.py
+++ b/packages/cicadafold/src/cicadafold/coordination/request_dispatcher.py
@@ -94,7 +94,7 @@
         if request.rack is None or request.adopted:
             self.choose_rack(request)
         spent_ms = clock.monotonic_ms() - started_ms
-        request.spent_us = int(spent_ms * clock.MILLISECONDS)
+        request.spent_us = int(spent_ms * clock.US_PER_MS)
         if request.adopted and not await self.locate(request):
             return expired_reply(request)
         if request.possibly_run:
@@ -135,7 +135,7 @@
             raise exception.Starting(
                 message="The list of workers has not been received yet.",
                 remedy="Submit again in a moment.",
-                retry_after_ms=clock.MILLISECONDS,
+                retry_after_ms=clock.MS_PER_S,
             )
         raise exception.NeverFits(
             message=f"No rack can ever run a request of {request.kind.name}.",
@@ -246,7 +246,7 @@
             hops=request.hops,
             spent_us=request.spent_us,
         )
-        timeout_s = (budget_ms + REPLY_GRACE_MS) / clock.MILLISECONDS
+        timeout_s = (budget_ms + REPLY_GRACE_MS) / clock.MS_PER_S
         try:
             return await self.node.call_member(
                 owner, request.kind.lane, frame, timeout_s=timeout_s
@@ -278,7 +278,7 @@
             status=Status.REFUSED,
             code=messages.ErrorCode.deadline_exceeded.value,
             text="No owner of a rack could be reached before the deadline.",
-            retry_after_ms=clock.MILLISECONDS,
+            retry_after_ms=clock.MS_PER_S,
         )
     return frames.Reply(
         serial=0,
--- a/packages/cicadafold/src/cicadafold/daemon/draining.py
+++ b/packages/cicadafold/src/cicadafold/daemon/draining.py
@@ -43,9 +43,9 @@
 def is_busy(node):
     """Whether the process still owns racks or has requests to answer."""
     retiring = any(
-        work.reply is None
+        request.reply is None
         for owner in node.rack_claimer.retiring.values()
-        for work in owner.requests.values()
+        for request in owner.requests.values()
     )
     return bool(node.rack_claimer.owners) or retiring or node.in_flight > 0
 
--- a/packages/cicadafold/src/cicadafold/daemon/node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/node.py
@@ -79,7 +79,7 @@
         self.incarnation = uuid.uuid4().hex[:8]
         self.metrics = metrics.Metrics()
         self.events = events.RequestEvents(member=self.name)
-        self.burn = burn.AnswerCounts()
+        self.answer_counts = burn.AnswerCounts()
         self.stop_requested = asyncio.Event()
         self.kinds_revision = -1
         self.kinds = {}
--- a/packages/cicadafold/src/cicadafold/dispatch/job_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/job_table.py
@@ -10,7 +10,7 @@
 
 __all__ = ["JobTable"]
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 # Assumed number of workers in an advice call, for the latency objective.
 ADVISED_WORKERS = 24
 
--- a/packages/cicadafold/src/cicadafold/dispatch/placing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/placing.py
@@ -22,7 +22,7 @@
 IDLE_PASS_S = 0.1
 # Attempt numbers that a term may use; those of a later term are higher.
 ATTEMPTS_PER_TERM = 1_000_000
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 # Most gangs for which workers are reserved at a time.
 MAX_RESERVATIONS = 3
 # No workers are reserved for a gang that would fit later than this.
@@ -42,7 +42,7 @@
 
     Args:
         term: Number of the scheduler's term.
-        table: Table of the jobs.
+        job_table: Table of the jobs.
         estimates: Duration estimates.
         workers: Workers by name.
         links: Links to the workers by name of the worker.
@@ -65,7 +65,7 @@
         self,
         *,
         term,
-        table,
+        job_table,
         estimates,
         workers,
         links,
@@ -76,7 +76,7 @@
         metrics,
     ):
         self.term = term
-        self.table = table
+        self.job_table = job_table
         self.estimates = estimates
         self.workers = workers
         self.links = links
@@ -217,7 +217,7 @@
         attempts in their pool are known.
         """
         ranked = []
-        for job in self.table.active.values():
+        for job in self.job_table.active.values():
             if job.inherited and not self.all_runs_known(job.rule.pool):
                 continue
             if job.spec.repeats:
@@ -344,7 +344,7 @@
         waited_ms = now_ms - step.ready_ms
         self.metrics.record_us(
             "start_wait",
-            waited_ms * MILLISECONDS,
+            waited_ms * clock.US_PER_MS,
             queue=step.job.rule.name,
         )
         LOG.info(
@@ -383,7 +383,7 @@
         if result is Result.INVALID_TICKET:
             task.step.tickets.pop(worker.report.id, None)
         elif result is Result.UNHEALTHY:
-            worker.quarantined_until_ms = clock.monotonic_ms() + MILLISECONDS
+            worker.quarantined_until_ms = clock.monotonic_ms() + MS_PER_S
         if result is not Result.ACCEPTED and task.step.spec.gang:
             link.events.stop_attempt(task.step, run.attempt)
         self.wake()
--- a/packages/cicadafold/src/cicadafold/dispatch/record_cleanup.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/record_cleanup.py
@@ -18,7 +18,7 @@
 # Ends are kept for this many times the promised period, so that a request
 # that is repeated after the end of its job still finds the record.
 END_KEPT_FACTOR = 1.5
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 LOG = logs.get_logger("journal")
 
@@ -47,7 +47,7 @@
         self.store = store
         self.journal = journal
         self.on_end_dropped = on_end_dropped
-        self.kept_ms = status_s * MILLISECONDS * END_KEPT_FACTOR
+        self.kept_ms = status_s * MS_PER_S * END_KEPT_FACTOR
         self.partitions = {}
         self.ended = set()
         self.ends = {}
--- a/packages/cicadafold/src/cicadafold/dispatch/term.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/term.py
@@ -217,7 +217,7 @@
         self.events.links = self.worker_table.links
         self.placer = placing.Placer(
             term=self.number,
-            table=self.job_table,
+            job_table=self.job_table,
             estimates=self.estimates,
             workers=self.worker_table.workers,
             links=self.worker_table.links,
@@ -244,7 +244,7 @@
         self.worker_table.wake = self.placer.wake
         self.watcher = watching.Watcher(
             workers=self.worker_table.workers,
-            table=self.job_table,
+            job_table=self.job_table,
             events=self.events,
         )
 
@@ -449,7 +449,7 @@
         Args:
             time_ms: Monotonic time, in milliseconds.
         """
-        time_s = time_ms / clock.MILLISECONDS
+        time_s = time_ms / clock.MS_PER_S
         return all(tail.complete_until_s > time_s for tail in self.job_tails)
 
     def health(self):
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_job_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_job_table.py
@@ -41,12 +41,12 @@
     )
 
 
-def make_events(table, *, caught_up=True, stopped=None):
+def make_events(table, *, all_read=True, stopped=None):
     """Returns a worker event handler on a job table.
 
     Args:
         table: Table of the jobs.
-        caught_up: Whether the journal has been read to its end.
+        all_read: Whether all job records have been read.
         stopped: List to which stopped run attempts are added.
     """
     events = worker_events.WorkerEventHandler(
@@ -57,7 +57,7 @@
         step_down=None,
         on_answering_changed=None,
         unknown_runs=unknown_job_runs.UnknownJobRuns(
-            has_read_up_to=lambda since_ms: caught_up
+            has_read_up_to=lambda since_ms: all_read
         ),
         metrics=table.metrics,
     )
@@ -149,7 +149,7 @@
     """
     table = make_table()
     stopped = []
-    events = make_events(table, caught_up=False, stopped=stopped)
+    events = make_events(table, all_read=False, stopped=stopped)
     name = model.TaskName(spec.id, 0, 0, 1)
     events.on_unexpected_run(worker, model.RunReport(name, 7, "", 30.0, 0.0))
     events.stop_unknown_runs()
@@ -177,18 +177,18 @@
 
 
 @pytest.mark.parametrize(
-    ("caught_up", "known", "batch"),
+    ("all_read", "known", "batch"),
     [(False, False, None), (True, False, 0), (False, True, 1)],
 )
 def test_end_of_a_job_not_read_yet_is_deferred(
-    spec, worker, caught_up, known, batch
+    spec, worker, all_read, known, batch
 ):
     """The worker reports the end again instead of having it acknowledged.
 
     Otherwise the task would be started again after it was done.
     """
     table = make_table()
-    events = make_events(table, caught_up=caught_up)
+    events = make_events(table, all_read=all_read)
     if known:
         table.add(spec)
     name = model.TaskName(spec.id, 0, 0, 1)
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_stall_detector.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_stall_detector.py
@@ -94,7 +94,7 @@
     events = types.SimpleNamespace(on_run_gone=lambda *args: gone.append(args))
     placer = placing.Placer(
         term=1,
-        table=None,
+        job_table=None,
         estimates=None,
         workers={},
         links={"w": types.SimpleNamespace(events=events)},
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_worker_link.py
@@ -228,7 +228,7 @@
 def test_finished_gang_member_is_not_stalled(link, job):
     """A gang member at 100 percent waits for the slower members."""
     run = add_run(link, job, State.RUNNING)
-    watcher = watching.Watcher(workers={}, table=None, events=None)
+    watcher = watching.Watcher(workers={}, job_table=None, events=None)
     later_ms = run.progress_changed_ms + watching.STALL_MS + 1
     run.percent = 50.0
     assert watcher.is_stalled(run, later_ms)
@@ -270,7 +270,7 @@
         worker.report = msgspec.structs.replace(
             worker.report, draining=True, remaining_ms=2000
         )
-    watcher = watching.Watcher(workers={}, table=None, events=link.events)
+    watcher = watching.Watcher(workers={}, job_table=None, events=link.events)
     watcher.move_runs_from(worker, now_ms)
     assert bool(link.events.gone) is moved
 
@@ -285,7 +285,7 @@
     meter.record_rate(run.name.job, 0.05, now_ms)
     link.worker.speed = 0.2
     run.percent = 10.0
-    watcher = watching.Watcher(workers={}, table=None, events=link.events)
+    watcher = watching.Watcher(workers={}, job_table=None, events=link.events)
     watcher.move_runs_from(link.worker, now_ms)
     assert link.events.gone == []
 
--- a/packages/cicadafold/src/cicadafold/dispatch/watching.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/watching.py
@@ -43,14 +43,14 @@
 
     Args:
         workers: Workers by name.
-        table: Table of the jobs.
+        job_table: Table of the jobs.
         events: Event handler of the workers, which stops run attempts and
             knows their expected durations.
     """
 
-    def __init__(self, *, workers, table, events):
+    def __init__(self, *, workers, job_table, events):
         self.workers = workers
-        self.table = table
+        self.job_table = job_table
         self.events = events
 
     async def run(self):
@@ -85,7 +85,7 @@
         """Logs the steps that have waited longest, beyond LONG_WAIT_MS."""
         waiting = [
             step
-            for job in self.table.active.values()
+            for job in self.job_table.active.values()
             for steps in job.steps.values()
             for step in steps
             if step.ready_ms is not None
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -13,7 +13,7 @@
 Result = worker_client.CommandResult
 State = runs.RunState
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 # A worker holds a renewal for at most this time before it answers, and
 # answers at once when a task ends.
 RENEW_WAIT_MS = 700
@@ -159,7 +159,7 @@
             acknowledged=acknowledged,
             deadline_ms=deadline_ms,
             wait_ms=wait_ms,
-            timeout_s=wait_ms / MILLISECONDS + ANSWER_SLACK_S,
+            timeout_s=wait_ms / MS_PER_S + ANSWER_SLACK_S,
         )
         if isinstance(answer, Result):
             self.on_renewal_refused(answer)
--- a/packages/cicadafold/src/cicadafold/election/candidate.py
+++ b/packages/cicadafold/src/cicadafold/election/candidate.py
@@ -18,7 +18,7 @@
 # Joins per time to live of the membership, so that two successive ones may be
 # lost. The settings hold the shortest time to live that the store accepts.
 JOINS_PER_TTL = 3.0
-MILLISECONDS = 1000
+MS_PER_S = 1000
 LOST_CLAIM_PAUSE_S = 0.3
 # Bounds of the random pause between two checks for a lost scheduler. They
 # differ by more than the duration of a claim, so that processes seldom claim
@@ -155,7 +155,7 @@
 
     async def maintain_membership(self):
         """Renews the membership, and claims if this is the successor."""
-        pause_s = self.ttl_ms / MILLISECONDS / JOINS_PER_TTL
+        pause_s = self.ttl_ms / MS_PER_S / JOINS_PER_TTL
         while not self.leaving:
             try:
                 await self.join_once()
--- a/packages/cicadafold/src/cicadafold/job_service/service.py
+++ b/packages/cicadafold/src/cicadafold/job_service/service.py
@@ -11,7 +11,7 @@
 
 __all__ = ["JobService"]
 
-MILLISECONDS = 1000.0
+US_PER_MS = 1000.0
 # Accepted jobs that are remembered, as the scheduler may not know them yet.
 REMEMBERED_JOBS = 2000
 RETRY_PAUSE_S = 0.05
@@ -67,9 +67,7 @@
         self.remember_accepted(spec.id)
         await self.scheduler.notify_accepted(spec)
         took_ms = clock.monotonic_ms() - started_ms
-        self.metrics.record_us(
-            "accept", took_ms * MILLISECONDS, queue=spec.queue
-        )
+        self.metrics.record_us("accept", took_ms * US_PER_MS, queue=spec.queue)
         LOG.info(
             "A job was accepted.",
             fields={
--- a/packages/cicadafold/src/cicadafold/ownership/admission.py
+++ b/packages/cicadafold/src/cicadafold/ownership/admission.py
@@ -37,10 +37,10 @@
         estimates.refuse_late(owner, request, wait_ms)
         return
     request.state = State.QUEUED
-    owner.lanes.push(request)
+    owner.queue.push(request)
     owner.node.events.add(
         request.request_id,
-        f"Queued for {owner.name} behind {len(owner.lanes) - 1} requests.",
+        f"Queued for {owner.name} behind {len(owner.queue) - 1} requests.",
     )
 
 
@@ -74,7 +74,7 @@
 
 def set_deadline(owner, request):
     """Starts the timer that answers a request at its deadline."""
-    delay_s = (request.deadline_ms - clock.monotonic_ms()) / clock.MILLISECONDS
+    delay_s = (request.deadline_ms - clock.monotonic_ms()) / clock.MS_PER_S
     loop = asyncio.get_running_loop()
     request.timer = loop.call_later(
         max(0.0, delay_s), functools.partial(on_deadline, owner), request
@@ -90,7 +90,7 @@
     if request.reply is not None:
         return
     if request.state is State.QUEUED:
-        owner.lanes.remove(request)
+        owner.queue.remove(request)
         estimates.refuse_late(
             owner, request, estimates.expected_wait_ms(owner, request)
         )
--- a/packages/cicadafold/src/cicadafold/ownership/estimates.py
+++ b/packages/cicadafold/src/cicadafold/ownership/estimates.py
@@ -53,9 +53,9 @@
     )
     lane = request.kind.lane
     if lane is messages.Lane.urgent:
-        ahead = owner.lanes.urgent_count
+        ahead = owner.queue.urgent_count
     else:
-        ahead = len(owner.lanes)
+        ahead = len(owner.queue)
     if not slots:
         return 0.0
     return ahead * owner.mean_run_ms[lane] / slots
--- a/packages/cicadafold/src/cicadafold/ownership/rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack.py
@@ -53,7 +53,7 @@
             request identifier.
         unresolved: Held requests that an earlier dispatch may have started,
             by identifier, until the workers' inventories show it.
-        lanes: Queued requests.
+        queue: Queued requests.
         links: ``TargetLink`` of each worker, by name of the worker.
         link_tasks: Tasks that run the links, by name of the worker.
         recovered: Tasks found on workers before their requests were
@@ -78,7 +78,7 @@
         self.requests = {}
         self.redirected = {}
         self.unresolved = {}
-        self.lanes = request_queue.RequestQueue()
+        self.queue = request_queue.RequestQueue()
         self.links = {}
         self.link_tasks = {}
         self.recovered = recovered_tasks.RecoveredTasks(rack=self)
@@ -381,7 +381,7 @@
             return
         request.cancelled = True
         if request.state is State.QUEUED:
-            self.lanes.remove(request)
+            self.queue.remove(request)
         if request.tasks:
             for task in request.tasks.values():
                 task.link.request_stop(task)
@@ -409,7 +409,7 @@
 
         It is kept for ``RETAIN_ANSWERS_S`` for senders that ask again.
         """
-        due_ms = clock.monotonic_ms() + RETAIN_ANSWERS_S * clock.MILLISECONDS
+        due_ms = clock.monotonic_ms() + RETAIN_ANSWERS_S * clock.MS_PER_S
         self.expiries.append((due_ms, request))
 
     def remove_expired(self):
@@ -451,14 +451,14 @@
         patient_slots = sum(
             max(0, link.capacity.free_slots - headroom) for link in links
         )
-        waiting = len(self.lanes)
+        waiting = len(self.queue)
         mean_ms = self.mean_run_ms[messages.Lane.patient]
         slots = sum(link.capacity.slots for link in links) or 1
         digest = gossip.Digest(
             rack=self.name,
             term=self.term,
             serial=self.digest_serial,
-            free_slots=max(0, free_slots - self.lanes.urgent_count),
+            free_slots=max(0, free_slots - self.queue.urgent_count),
             patient_slots=max(0, patient_slots - waiting),
             queued=waiting,
             wait_ms=int(waiting * mean_ms / slots),
--- a/packages/cicadafold/src/cicadafold/ownership/rack_requests.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack_requests.py
@@ -115,7 +115,7 @@
         attempt: Offset of the control record that makes the sender
             coordinator; 0 for requests that are not recorded.
         arrived_ms: Monotonic time in milliseconds of the dispatch.
-        queued: Whether the request is in the lanes; set by these.
+        queued: Whether the request is in the queue; set by the queue.
         tasks: Running tasks by identifier, one unless the kind is a gang.
         ends: Pairs of ended task and ``TaskEnd`` by task identifier.
         responders: Pairs of serial number and function that sends a reply,
--- a/packages/cicadafold/src/cicadafold/ownership/starting.py
+++ b/packages/cicadafold/src/cicadafold/ownership/starting.py
@@ -23,10 +23,10 @@
     """
     if owner.retired:
         return
-    while request := owner.lanes.peek_urgent():
+    while request := owner.queue.peek_urgent():
         if not start_queued(owner, request):
             break
-    while request := owner.lanes.peek_patient(
+    while request := owner.queue.peek_patient(
         functools.partial(is_below_quota, owner)
     ):
         if not start_queued(owner, request):
@@ -44,16 +44,16 @@
         Whether the request has left the queue.
     """
     if estimates.would_be_late(owner, request, 0.0):
-        owner.lanes.remove(request)
+        owner.queue.remove(request)
         estimates.refuse_late(
             owner, request, estimates.expected_wait_ms(owner, request)
         )
         return True
     if not try_start(owner, request, queued=True):
         return False
-    owner.lanes.remove(request)
+    owner.queue.remove(request)
     if request.kind.lane is messages.Lane.patient:
-        owner.lanes.charge_team(
+        owner.queue.charge_team(
             request,
             cost=request.kind.cores * request.kind.tasks / request.kind.worth,
             weight=owner.node.team_weight(request.team),
@@ -100,7 +100,7 @@
         return False
     now_ms = clock.monotonic_ms()
     waited_ms = now_ms - request.arrived_ms
-    request.waited_us = int(waited_ms * clock.MILLISECONDS)
+    request.waited_us = int(waited_ms * clock.US_PER_MS)
     request.state = State.RUNNING
     request.ends = {}
     if request.kind.lane is messages.Lane.patient:
@@ -131,8 +131,8 @@
     Urgent requests wait only for urgent ones, patient ones for all.
     """
     if request.kind.lane is messages.Lane.urgent:
-        return bool(owner.lanes.urgent_count)
-    return bool(len(owner.lanes)) or not is_below_quota(owner, request.team)
+        return bool(owner.queue.urgent_count)
+    return bool(len(owner.queue)) or not is_below_quota(owner, request.team)
 
 
 def choose_links(owner, request, size):
--- a/packages/cicadafold/src/cicadafold/ownership/target_link.py
+++ b/packages/cicadafold/src/cicadafold/ownership/target_link.py
@@ -364,7 +364,7 @@
         silent_ms = now_ms - self.last_reply_ms
         if (
             silent_ms
-            > self.idle_period_s() * clock.MILLISECONDS * HEARTBEAT_DUE_SHARE
+            > self.idle_period_s() * clock.MS_PER_S * HEARTBEAT_DUE_SHARE
         ):
             return True
         return any(self.needs_renewal(t, now_ms) for t in self.tasks.values())
@@ -522,7 +522,7 @@
         doubled_s = max(QUARANTINE_MIN_S, self.quarantine_s * 2)
         self.quarantine_s = min(QUARANTINE_MAX_S, doubled_s)
         now_ms = clock.monotonic_ms()
-        until_ms = now_ms + self.quarantine_s * clock.MILLISECONDS
+        until_ms = now_ms + self.quarantine_s * clock.MS_PER_S
         self.quarantined_until_ms = until_ms
         LOG.warning(
             "Worker %s fails tasks of several requests and completes none; "
--- a/packages/cicadafold/src/cicadafold/platform/http_adapters.py
+++ b/packages/cicadafold/src/cicadafold/platform/http_adapters.py
@@ -14,7 +14,7 @@
 CONTROL_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 1.0
 READ_MARGIN_S = 1.0
-MILLISECONDS = 1000
+MS_PER_S = 1000
 STATUS_OK = 200
 STATUS_CONFLICT = 409
 
@@ -63,7 +63,7 @@
     async def read(self, *, start, wait_ms):
         """Reads entries, starting at an offset."""
         timeout = aiohttp.ClientTimeout(
-            total=wait_ms / MILLISECONDS + READ_MARGIN_S
+            total=wait_ms / MS_PER_S + READ_MARGIN_S
         )
         parameters = {"from": str(start), "wait_ms": str(wait_ms)}
         try:
@@ -82,7 +82,7 @@
     return exception.LogUnavailable(
         message=f"The log refused an append: {reason}.",
         remedy="Submit again later.",
-        retry_after_ms=MILLISECONDS,
+        retry_after_ms=MS_PER_S,
     )
 
 
@@ -91,7 +91,7 @@
     return exception.LogUnavailable(
         message=f"The log did not answer a read: {reason}.",
         remedy="Check the log service.",
-        retry_after_ms=MILLISECONDS,
+        retry_after_ms=MS_PER_S,
     )
 
 
--- a/packages/cicadafold/src/cicadafold/platform/job_server.py
+++ b/packages/cicadafold/src/cicadafold/platform/job_server.py
@@ -20,7 +20,7 @@
 ANSWER_MARGIN_S = 0.15
 # Limit for queries of state, which callers repeat after a failure.
 QUERY_TIMEOUT_S = 1.5
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 RETRY_AFTER_S = "1"
 JOB_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
 MAX_BODY_BYTES = 4 << 20
@@ -168,7 +168,7 @@
     except ValueError:
         timeout_ms = DEFAULT_TIMEOUT_MS
     loop = asyncio.get_running_loop()
-    return loop.time() + max(0.1, timeout_ms / MILLISECONDS - ANSWER_MARGIN_S)
+    return loop.time() + max(0.1, timeout_ms / MS_PER_S - ANSWER_MARGIN_S)
 
 
 def query_deadline(request):
@@ -181,8 +181,8 @@
     """Returns the HTTP response for a call that failed."""
     headers = {}
     if error.status in (429, 503):
-        wait_ms = error.retry_after_ms or MILLISECONDS
-        headers["Retry-After"] = str(max(1, round(wait_ms / MILLISECONDS)))
+        wait_ms = error.retry_after_ms or MS_PER_S
+        headers["Retry-After"] = str(max(1, round(wait_ms / MS_PER_S)))
     return web.Response(
         status=error.status,
         text=json.dumps({"error": str(error)}),
--- a/packages/cicadafold/src/cicadafold/platform/log_store.py
+++ b/packages/cicadafold/src/cicadafold/platform/log_store.py
@@ -30,7 +30,7 @@
 MIN_APPEND_TIMEOUT_S = 0.8
 MAX_APPEND_TIMEOUT_S = 2.4
 APPEND_MEAN_WEIGHT = 0.3
-MILLISECONDS = 1000
+MS_PER_S = 1000
 STATUS_OK = 200
 STATUS_CONFLICT = 409
 STATUS_GONE = 410
@@ -199,7 +199,7 @@
             "GET",
             "log-read",
             query=query,
-            timeout_s=wait_ms / MILLISECONDS + read_margin_s,
+            timeout_s=wait_ms / MS_PER_S + read_margin_s,
         )
         if status == STATUS_OK:
             end, _, found = codec.decode_records(body)
@@ -322,7 +322,7 @@
         The store executes an append even after its timeout, and repeated
         appends slow it down further; so a slow store gets a longer timeout.
         """
-        wanted_s = APPEND_TIMEOUT_FACTOR * self.mean_append_ms / MILLISECONDS
+        wanted_s = APPEND_TIMEOUT_FACTOR * self.mean_append_ms / MS_PER_S
         return min(MAX_APPEND_TIMEOUT_S, max(MIN_APPEND_TIMEOUT_S, wanted_s))
 
     @property
--- a/packages/cicadafold/src/cicadafold/platform/worker_client.py
+++ b/packages/cicadafold/src/cicadafold/platform/worker_client.py
@@ -13,7 +13,7 @@
 __all__ = ["CommandResult", "Inventory", "StartCommand", "WorkerClient"]
 
 CONNECT_TIMEOUT_S = 0.5
-MILLISECONDS = 1000
+MS_PER_S = 1000
 STATUS_OK = 200
 STATUS_CONFLICT = 409
 STATUS_MISDIRECTED = 421
--- a/packages/cicadafold/src/cicadafold/service/caller_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/caller_calls.py
@@ -38,7 +38,7 @@
         raise exception.Starting(
             message="This entry host is starting.",
             remedy="Make the call again after retry_after_ms.",
-            retry_after_ms=clock.MILLISECONDS,
+            retry_after_ms=clock.MS_PER_S,
         )
 
 
@@ -89,8 +89,8 @@
         raise
     finally:
         elapsed_s = time.perf_counter() - start_s
-        in_time = elapsed_s * clock.MILLISECONDS <= kind.objective_ms
-        node.burn.count_answer(kind.name, good=good and in_time)
+        in_time = elapsed_s * clock.MS_PER_S <= kind.objective_ms
+        node.answer_counts.count_answer(kind.name, good=good and in_time)
     record_answer_metrics(node, kind, answer, elapsed_s)
     accepted = answer.outcome is messages.Outcome.accepted
     return codec.json_response(answer, status=202 if accepted else 200)
@@ -181,7 +181,7 @@
         message="The control log did not answer, and this entry host has no "
         "record of the request.",
         remedy="Make the call again after retry_after_ms.",
-        retry_after_ms=clock.MILLISECONDS,
+        retry_after_ms=clock.MS_PER_S,
     )
 
 
@@ -215,7 +215,7 @@
     submit_request = messages.SubmitRequest(
         request_id=entry.request_id, kind=entry.kind, team=entry.team
     )
-    deadline_ms = clock.monotonic_ms() + ANSWER_TIMEOUT_S * clock.MILLISECONDS
+    deadline_ms = clock.monotonic_ms() + ANSWER_TIMEOUT_S * clock.MS_PER_S
     answer = await node.coordinator.wait_for_answer(
         submit_request, deadline_ms
     )
@@ -250,7 +250,7 @@
     raise exception.OutcomeUnknown(
         message="The owner of the request could not be reached.",
         remedy="Cancel it again after retry_after_ms.",
-        retry_after_ms=clock.MILLISECONDS,
+        retry_after_ms=clock.MS_PER_S,
     )
 
 
--- a/packages/cicadafold/src/cicadafold/service/operator_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/operator_calls.py
@@ -162,7 +162,7 @@
     return exception.OutcomeUnknown(
         message="The control log did not confirm the change in time.",
         remedy="Repeat it with the same change id; it is applied once.",
-        retry_after_ms=clock.MILLISECONDS,
+        retry_after_ms=clock.MS_PER_S,
     )
 
 
@@ -247,4 +247,6 @@
 
 def local_burn_report(node):
     """Returns the burn report of the answers of this process."""
-    return node.burn.report(node.name, node.tail.state.configuration.kinds)
+    return node.answer_counts.report(
+        node.name, node.tail.state.configuration.kinds
+    )
--- a/packages/cicadafold/src/cicadafold/telemetry/events.py
+++ b/packages/cicadafold/src/cicadafold/telemetry/events.py
@@ -9,7 +9,7 @@
 
 MAX_REQUESTS = 5000
 MAX_EVENTS_PER_REQUEST = 50
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 
 class RequestEvents:
@@ -52,7 +52,7 @@
         """Returns the events of a request as ``messages.Event`` objects."""
         return [
             messages.Event(
-                at_ms=int(at * MILLISECONDS),
+                at_ms=int(at * MS_PER_S),
                 member=self.member,
                 text=text % values if values else text,
             )
