--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/soak.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/soak.py
@@ -44,8 +44,8 @@
     """Registers a coroutine function that injects a fault and heals it.
 
     Args:
-        name: Key of the fault in FAULTS; it is printed, and the order of the
-            names decides which fault a seed injects.
+        name: Key of the fault in FAULTS. It is printed, and a seed picks
+            from the sorted names.
     """
 
     def register(function):
@@ -235,7 +235,7 @@
         self.busy.discard(name)
 
     async def submit(self, job_id):
-        """Submits a random job, and cancels it if it says so.
+        """Submits a random job, and cancels it if its ``cancels`` is set.
 
         Refused and unconfirmed calls are repeated, at most
         MAX_CALLS_PER_JOB times. The job counts as refused only if every call
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/worker.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/worker.py
@@ -181,7 +181,10 @@
         return web.json_response(body, status=status)
 
     def extend(self, deadline_ms):
-        """Extends the lease to a deadline, by at most LONGEST_LEASE_MS."""
+        """Extends the lease to a deadline in ms of the worker's clock.
+
+        The lease ends at most LONGEST_LEASE_MS from now.
+        """
         if deadline_ms is not None:
             latest_ms = self.clock_ms + LONGEST_LEASE_MS
             self.lease_until_ms = max(
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/explore.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/explore.py
@@ -31,7 +31,8 @@
 ANSWER_LOSS_SHARE = 0.3
 LATE_CALL_SHARE = 0.2
 
-# Here the network delivers calls late, so the workers need not.
+# Faults of the soak without late start commands, because the simulated
+# network delivers calls of all kinds late.
 FAULTS = {
     name: inject
     for name, inject in soak_module.FAULTS.items()
@@ -51,7 +52,7 @@
 
 @fault("answers lost")
 async def lose_answers(soak):
-    """Loses a fraction ANSWER_LOSS_SHARE of all answers for a while."""
+    """Loses the fraction ANSWER_LOSS_SHARE of all answers for up to 3 s."""
     network = soak.cell.network
     network.answer_loss_share = ANSWER_LOSS_SHARE
     await asyncio.sleep(soak.rng.uniform(0.2, LONGEST_LOSS_S))
@@ -60,7 +61,11 @@
 
 @fault("calls late")
 async def delay_calls(soak):
-    """Delivers a fraction of all calls late and without an answer."""
+    """Delivers some calls late and without an answer.
+
+    That concerns the fraction LATE_CALL_SHARE of all calls that are made
+    within up to 3 s.
+    """
     network = soak.cell.network
     network.late_call_share = LATE_CALL_SHARE
     await asyncio.sleep(soak.rng.uniform(0.2, LONGEST_LOSS_S))
@@ -69,7 +74,10 @@
 
 @fault("node cut from some")
 async def cut_member_off(soak):
-    """Cuts a process off from some of the store, workers and peers."""
+    """Cuts a process off from some of store, workers and peers for up to 6 s.
+
+    The other end of each cut is chosen at random.
+    """
     names = sorted(soak.cell.members)
     if not names:
         return
@@ -103,7 +111,7 @@
 
 @fault("store slow")
 async def slow_store_down(soak):
-    """Makes each append of the store take longer for a while."""
+    """Makes each append of the store take longer for 0.5 to 4 s."""
     store = soak.cell.store
     original_s = store.append_delay_s
     store.append_delay_s = soak.rng.uniform(*SLOW_APPEND_DELAY_S)
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/network.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/network.py
@@ -14,7 +14,7 @@
 
 __all__ = ["Network", "Session"]
 
-# Bounds of the usual one-way delay, and of the long delay that a share of
+# Bounds of the usual one-way delay, and of the long delay that the fraction
 # LONG_DELAY_SHARE of the messages gets.
 DELAY_S = (0.0003, 0.004)
 LONG_DELAY_SHARE = 0.02
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/virtual_time.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/virtual_time.py
@@ -92,7 +92,7 @@
         """Advances the time by the timeout in seconds.
 
         Raises:
-            RuntimeError: There is no timer, so the loop would wait forever.
+            RuntimeError: Nothing is scheduled, so the loop would wait forever.
         """
         if timeout is None:
             raise RuntimeError(
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_soak.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_soak.py
@@ -9,9 +9,9 @@
 from cicadafold_standins.fleet import run_log
 from cicadafold_standins.fleet import soak
 
-# Pairs of seed and duration in seconds. Seed 103: a start command was stopped
-# and its worker restarted, then the command was applied late by the new
-# incarnation.
+# Pairs of seed and duration in seconds. In seed 103 a run attempt was stopped
+# before its start command arrived, the worker restarted, and the new
+# incarnation applied the late start command.
 SEEDS = ((1, 6.0), (2, 6.0), (103, 8.0))
 
 
