--- a/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
@@ -234,7 +234,7 @@
             deadline_ms=1.0,
         )
         request.tasks[request.request_id] = rack_requests.TargetTask(
-            task_id=request.request_id, link=None, size=None, on_end=None
+            task_id=request.request_id, link=None, resources=None, on_end=None
         )
         requests[request.request_id] = request
     megabytes = tracemalloc.get_traced_memory()[0] / 1e6
--- a/packages/cicadafold/src/cicadafold/hosts.py
+++ b/packages/cicadafold/src/cicadafold/hosts.py
@@ -44,28 +44,30 @@
             headroom: Slots of each worker that stay free, each with its
                 share of the cores and memory.
         """
-        size = capacity.resources_of_kind(kind)
+        resources = capacity.resources_of_kind(kind)
         count = 0
         for empty in self.capacities:
-            count += count_fitting_tasks(empty, size, headroom, kind.tasks)
+            count += count_fitting_tasks(
+                empty, resources, headroom, kind.tasks
+            )
             if count >= kind.tasks:
                 return True
         return False
 
 
-def count_fitting_tasks(empty, size, headroom, limit):
+def count_fitting_tasks(empty, resources, headroom, limit):
     """Returns how many tasks an idle worker could run at once.
 
     Args:
         empty: Capacity of the idle worker; unchanged on return.
-        size: Resources of one task.
+        resources: Resources of one task.
         headroom: Slots of the worker that stay free, each with its share of
             the cores and memory.
         limit: Number of tasks at which the count stops.
     """
     count = 0
-    while count < limit and empty.fits(size, headroom=headroom):
-        empty.reserve(size)
+    while count < limit and empty.fits(resources, headroom=headroom):
+        empty.reserve(resources)
         count += 1
     empty.reset()
     return count
--- a/packages/cicadafold/src/cicadafold/ownership/completion.py
+++ b/packages/cicadafold/src/cicadafold/ownership/completion.py
@@ -38,7 +38,7 @@
     del request.tasks[task.task_id]
     request.ends[task.task_id] = (task, end)
     if request.kind.lane is messages.Lane.patient:
-        owner.held_cores[request.team] -= task.size.cores
+        owner.held_cores[request.team] -= task.resources.cores
     record_run(owner, task, end, request)
     if request.reply is None:
         collect(owner, request)
--- a/packages/cicadafold/src/cicadafold/ownership/rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack.py
@@ -29,7 +29,7 @@
 MAINTENANCE_PERIOD_S = 0.25
 RETIRE_GRACE_S = 0.5
 DIGEST_REPEAT_MS = 5000
-MICROSECONDS = 1_000_000
+US_PER_S = 1_000_000
 
 LOG = logs.get_logger("rack")
 
@@ -221,7 +221,7 @@
             self.resolve_requests()
         else:
             admission.admit(self, request, hops=frame.hops)
-            own_us = (time.perf_counter() - began_s) * MICROSECONDS
+            own_us = (time.perf_counter() - began_s) * US_PER_S
             request.decision_us = int(frame.spent_us + own_us)
 
     def new_request(self, frame, kind, responder):
--- a/packages/cicadafold/src/cicadafold/ownership/rack_requests.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack_requests.py
@@ -60,7 +60,7 @@
         task_id: Identifier of the task.
         link: ``TargetLink`` of its target, or None if the task was never
             on a target.
-        size: Resources that the task reserves, or None if it reserves none.
+        resources: Resources that the task reserves, or None if it reserves none.
         on_end: Function that is called with the task and its ``TaskEnd``.
 
     Attributes:
@@ -78,10 +78,10 @@
         start_call: Running call that sends the start, or None.
     """
 
-    def __init__(self, *, task_id, link, size, on_end):
+    def __init__(self, *, task_id, link, resources, on_end):
         self.task_id = task_id
         self.link = link
-        self.size = size
+        self.resources = resources
         self.on_end = on_end
         self.sent_ms = clock.monotonic_ms()
         self.renewed_ms = self.sent_ms
--- a/packages/cicadafold/src/cicadafold/ownership/recovered_tasks.py
+++ b/packages/cicadafold/src/cicadafold/ownership/recovered_tasks.py
@@ -89,7 +89,10 @@
         if earlier is not None and earlier[1].report is not None:
             return
         task = rack_requests.TargetTask(
-            task_id=report.task_id, link=link, size=None, on_end=self.on_end
+            task_id=report.task_id,
+            link=link,
+            resources=None,
+            on_end=self.on_end,
         )
         task.ended = True
         ended[task.task_id] = (task, end_of(report))
@@ -157,7 +160,7 @@
         running = self.running.pop(request.request_id, {})
         ended = self.ended.pop(request.request_id, {})
         if request.kind.lane is messages.Lane.patient:
-            cores = sum(task.size.cores for task in running.values())
+            cores = sum(task.resources.cores for task in running.values())
             self.rack.held_cores[request.team] += cores
         request.may_have_run = True
         request.state = rack_requests.RequestState.RUNNING
@@ -180,7 +183,7 @@
             )
             if name not in request.tasks and name not in request.ends:
                 task = rack_requests.TargetTask(
-                    task_id=name, link=None, size=None, on_end=self.on_end
+                    task_id=name, link=None, resources=None, on_end=self.on_end
                 )
                 end = rack_requests.TaskEnd(
                     reason=rack_requests.EndReason.NOT_STARTED
--- a/packages/cicadafold/src/cicadafold/ownership/starting.py
+++ b/packages/cicadafold/src/cicadafold/ownership/starting.py
@@ -94,8 +94,8 @@
     """
     if not queued and must_queue(owner, request):
         return False
-    size = capacity.resources_of_kind(request.kind)
-    chosen = choose_links(owner, request, size)
+    resources = capacity.resources_of_kind(request.kind)
+    chosen = choose_links(owner, request, resources)
     if not chosen:
         return False
     now_ms = clock.monotonic_ms()
@@ -104,12 +104,12 @@
     request.state = State.RUNNING
     request.ends = {}
     if request.kind.lane is messages.Lane.patient:
-        owner.held_cores[request.team] += size.cores * len(chosen)
+        owner.held_cores[request.team] += resources.cores * len(chosen)
     for index, link in enumerate(chosen):
         task_id = task_ids.task_id(request.request_id, index, len(chosen))
         request.tasks[task_id] = link.start(
             task_id=task_id,
-            size=size,
+            resources=resources,
             payload=request.payload,
             lease_ms=request.kind.lease_ms,
             on_end=owner.on_task_end,
@@ -135,7 +135,7 @@
     return bool(len(owner.queue)) or not is_below_quota(owner, request.team)
 
 
-def choose_links(owner, request, size):
+def choose_links(owner, request, resources):
     """Returns a link for each task of a request, or none if some do not fit.
 
     Capacity is reserved only while choosing, so that two tasks of a gang do
@@ -144,18 +144,18 @@
     kind = request.kind
     chosen = []
     for _ in range(kind.tasks):
-        fitting = startable_links(owner, request, size)
-        link = policies.choose(kind.placement, fitting, size)
+        fitting = startable_links(owner, request, resources)
+        link = policies.choose(kind.placement, fitting, resources)
         if link is None:
             break
-        link.capacity.reserve(size)
+        link.capacity.reserve(resources)
         chosen.append(link)
     for link in chosen:
-        link.capacity.release(size)
+        link.capacity.release(resources)
     return chosen if len(chosen) == kind.tasks else []
 
 
-def startable_links(owner, request, size):
+def startable_links(owner, request, resources):
     """Returns the links to the workers that could start a task now.
 
     Workers on which the request has failed are returned only if no other
@@ -165,7 +165,7 @@
     fitting = [
         link
         for link in owner.links.values()
-        if link.capacity.fits(size, headroom=headroom_slots)
+        if link.capacity.fits(resources, headroom=headroom_slots)
         and link.is_available()
     ]
     if not request.failed_workers:
--- a/packages/cicadafold/src/cicadafold/ownership/target_link.py
+++ b/packages/cicadafold/src/cicadafold/ownership/target_link.py
@@ -174,7 +174,7 @@
             self.apply_report(task, by_id.get(task.task_id))
         self.capacity.reset()
         for task in self.tasks.values():
-            self.capacity.reserve(task.size)
+            self.capacity.reserve(task.resources)
         for report in reports:
             if report.task_id not in self.tasks:
                 self.rack.on_inventory(self, report)
@@ -193,28 +193,31 @@
         Returns:
             The ``TargetTask``; its lease is renewed next.
         """
-        size = host_capacity.TaskResources(
+        resources = host_capacity.TaskResources(
             cores=report.cores,
             memory_mb=report.memory_mb,
             accelerators=report.accelerators,
         )
         task = rack_requests.TargetTask(
-            task_id=report.task_id, link=self, size=size, on_end=on_end
+            task_id=report.task_id,
+            link=self,
+            resources=resources,
+            on_end=on_end,
         )
         task.renewed_ms = 0.0
         task.lease_ms = lease_ms
         worker_ms = int(self.clock.lower_bound_ms())
         task.lease_until_ms = worker_ms + lease_ms + CLOCK_SLACK_MS
-        self.capacity.reserve(size)
+        self.capacity.reserve(resources)
         self.tasks[task.task_id] = task
         return task
 
-    def start(self, *, task_id, size, payload, lease_ms, on_end):
+    def start(self, *, task_id, resources, payload, lease_ms, on_end):
         """Reserves the resources of a task and sends its start.
 
         Args:
             task_id: Identifier of the task.
-            size: Resources that the task needs.
+            resources: Resources that the task needs.
             payload: Payload, passed to the worker unchanged.
             lease_ms: Milliseconds that a lease lasts.
             on_end: Function that is called with the task and its ``TaskEnd``.
@@ -223,13 +226,13 @@
             The ``TargetTask``.
         """
         task = rack_requests.TargetTask(
-            task_id=task_id, link=self, size=size, on_end=on_end
+            task_id=task_id, link=self, resources=resources, on_end=on_end
         )
         worker_ms = self.clock.lower_bound_ms()
         task.start_by_ms = int(worker_ms) + START_BY_MS
         task.lease_ms = lease_ms
         task.lease_until_ms = int(worker_ms) + lease_ms
-        self.capacity.reserve(size)
+        self.capacity.reserve(resources)
         self.tasks[task_id] = task
         message = messages.StartTask(
             task_id=task_id,
@@ -237,9 +240,9 @@
             fence=self.term,
             start_by_ms=task.start_by_ms,
             lease_until_ms=task.lease_until_ms,
-            cores=size.cores,
-            memory_mb=size.memory_mb,
-            accelerators=size.accelerators,
+            cores=resources.cores,
+            memory_mb=resources.memory_mb,
+            accelerators=resources.accelerators,
             payload=payload,
         )
         task.start_call = asyncio.create_task(self.send_start(task, message))
@@ -468,7 +471,7 @@
     def release(self, task):
         """Releases the resources of an ended task."""
         if self.tasks.pop(task.task_id, None) is not None:
-            self.capacity.release(task.size)
+            self.capacity.release(task.resources)
 
     def record_reply(self, reply):
         """Records the worker's clock and the time of a reply."""
