--- a/packages/cicadafold/src/cicadafold/controllog/records.py
+++ b/packages/cicadafold/src/cicadafold/controllog/records.py
@@ -76,7 +76,7 @@
     """The workers on which the owner of a rack may start tasks.
 
     The next owner must read the inventory of each of them, including those
-    that are no longer in the platform's list of hosts. The record has an
+    that are no longer in the platform's list of workers. The record has an
     effect only if the rack's term is still ``term``.
     """
 
--- a/packages/cicadafold/src/cicadafold/controllog/replay.py
+++ b/packages/cicadafold/src/cicadafold/controllog/replay.py
@@ -1,4 +1,4 @@
-"""Replays the control log: applies its records in order to the state.
+"""Replays the control log: applies its records to the control state.
 
 A registry holds one function per type of record. All of them are
 deterministic, so that processes which apply the same entries hold the same
--- a/packages/cicadafold/src/cicadafold/controllog/snapshots.py
+++ b/packages/cicadafold/src/cicadafold/controllog/snapshots.py
@@ -1,4 +1,4 @@
-"""Appends snapshots of the state to the control log.
+"""Appends snapshots of the control state to the control log.
 
 A snapshot is appended well before the records that the state was built from
 expire in the log.
@@ -23,7 +23,7 @@
 
 
 class Snapshotter:
-    """Appends a snapshot when the last one is old or many entries ago.
+    """Appends a snapshot when the last one is old or far from the log's end.
 
     Only the process with the greatest rendezvous weight appends them. Two
     processes that do so at once cause no harm. A process that starts builds
--- a/packages/cicadafold/src/cicadafold/controllog/state.py
+++ b/packages/cicadafold/src/cicadafold/controllog/state.py
@@ -1,4 +1,4 @@
-"""State that each process builds by replaying the control log."""
+"""Control state, which each process builds by replaying the control log."""
 
 from cicadafold.platform import messages as platform
 from cicadafold_schema import messages
--- a/packages/cicadafold/src/cicadafold/coordination/adoption.py
+++ b/packages/cicadafold/src/cicadafold/coordination/adoption.py
@@ -37,7 +37,7 @@
         adopting: Identifiers of the requests whose adopt record was sent
             and is not applied yet.
         open_ids: Identifiers of the requests without a final outcome.
-        indexed_state: State for which ``open_ids`` was last computed.
+        indexed_state: Control state for which ``open_ids`` was last computed.
     """
 
     def __init__(self, *, node, coordinate):
@@ -134,7 +134,7 @@
         """Finds the open requests anew after the state was replaced.
 
         Args:
-            state: The current replayed state.
+            state: The current control state.
         """
         if self.indexed_state is state:
             return
@@ -158,7 +158,7 @@
         Processes in the region of the request precede all others.
 
         Args:
-            entry: Entry of the request in the replayed state.
+            entry: Entry of the request in the control state.
             members: Processes that can become coordinator.
         """
         candidates = [
--- a/packages/cicadafold/src/cicadafold/coordination/answers.py
+++ b/packages/cicadafold/src/cicadafold/coordination/answers.py
@@ -53,7 +53,7 @@
     """Returns the answer to the caller for a recorded request.
 
     Args:
-        entry: Entry of the request in the replayed state.
+        entry: Entry of the request in the control state.
 
     Raises:
         CicadafoldError: The request ended, but not as done.
--- a/packages/cicadafold/src/cicadafold/coordination/coordinator.py
+++ b/packages/cicadafold/src/cicadafold/coordination/coordinator.py
@@ -195,11 +195,11 @@
         await self.record_outcome(request, reply)
 
     def extend_deadline(self, request, reply):
-        """Extends the deadline of durable idempotent work; returns whether.
+        """Extends a durable idempotent request's deadline; returns whether.
 
-        It is dispatched again if its outcome is unknown: its callers are
-        answered by their own deadline, but the request must not be lost
-        with the owner of its rack.
+        Such a request is dispatched again if its outcome is unknown: its
+        callers are answered by their own deadline, but the request must not
+        be lost with the owner of its rack.
         """
         kind = request.kind
         unknown = reply.status is frames.ReplyStatus.UNKNOWN
--- a/packages/cicadafold/src/cicadafold/coordination/request_dispatcher.py
+++ b/packages/cicadafold/src/cicadafold/coordination/request_dispatcher.py
@@ -258,7 +258,7 @@
             return None
 
     async def wait_before_retry(self, request):
-        """Waits ``RETRY_PAUSE_S`` or until the replayed state changes."""
+        """Waits ``RETRY_PAUSE_S`` or until the control state changes."""
         try:
             async with asyncio.timeout(RETRY_PAUSE_S):
                 await self.node.tail.changed.wait()
--- a/packages/cicadafold/src/cicadafold/exception.py
+++ b/packages/cicadafold/src/cicadafold/exception.py
@@ -153,7 +153,7 @@
 
 @register_by_code
 class UnknownRequest(CicadafoldError):
-    """There is no record of the request, or no longer."""
+    """There is no record of the request, or it has expired."""
 
     code = Code.unknown_request
     status = 404
@@ -178,7 +178,7 @@
 
 @register_by_code
 class NeverFits(CicadafoldError):
-    """The request exceeds the capacity of every worker, or rack for a gang."""
+    """No worker, or for a gang no rack, is large enough for the request."""
 
     code = Code.never_fits
     status = 422
--- a/packages/cicadafold/src/cicadafold/jobs/model.py
+++ b/packages/cicadafold/src/cicadafold/jobs/model.py
@@ -278,8 +278,8 @@
 
     Attributes:
         name: Name of the pool.
-        guards_room: Whether its workers reject a start that exceeds their
-            free capacity.
+        guards_room: Whether its workers have an admission check, which
+            rejects a start that exceeds their free capacity.
         standby: Whether its hosts are switched off.
     """
 
--- a/packages/cicadafold/src/cicadafold/membership/gossip.py
+++ b/packages/cicadafold/src/cicadafold/membership/gossip.py
@@ -59,10 +59,10 @@
         self.exchanges = {}
 
     async def run(self):
-        """Starts exchanges with the next and the most silent peer, forever.
+        """Exchanges with the next and the longest silent peer in each period.
 
-        These exchanges run as separate tasks, so that a peer that cannot
-        be reached does not delay news from the others.
+        The exchanges run as separate tasks, so that a peer that cannot
+        be reached does not delay the exchanges with others.
         """
         while True:
             self.view.advance_heartbeat()
@@ -131,7 +131,7 @@
         """Returns the live peer with the longest silence, or None.
 
         Only peers that have been silent for ``DIRECT_EXCHANGE_AFTER_S``
-        are considered. A direct exchange prevents that a live peer counts
+        are considered. A direct exchange keeps a live peer from counting
         as dead only because no relayed heartbeat arrived in time.
         """
         silent = [
@@ -177,7 +177,7 @@
         """Sends a message to a peer and merges its reply into the view.
 
         An answer marks the peer as alive, a refused connection as dead, and
-        other connection errors count as resets. A time-out changes nothing.
+        other connection errors count as resets. A timeout changes nothing.
         """
         url = f"http://{self.resolve(peer.address)}/peer/gossip"
         timeout = aiohttp.ClientTimeout(total=EXCHANGE_TIMEOUT_S)
--- a/packages/cicadafold/src/cicadafold/membership/messages.py
+++ b/packages/cicadafold/src/cicadafold/membership/messages.py
@@ -11,7 +11,7 @@
     """State of a member that its heartbeat reports.
 
     Attributes:
-        DRAINING: The member stops new work before it leaves.
+        DRAINING: The member accepts no new requests and is about to leave.
         UNREACHABLE: The sender could not connect to the member.
     """
 
--- a/packages/cicadafold/src/cicadafold/ownership/rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack.py
@@ -51,24 +51,18 @@
             ``RETAIN_ANSWERS_S`` after its answer.
         redirected: Names of the racks that requests were redirected to, by
             request identifier.
-        unresolved: Held requests that an earlier dispatch may have started,
-            by identifier, until the workers' inventories show it.
-        queue: Queued requests.
+        unresolved: Held requests that an earlier dispatch may have started, by
+            identifier, until the workers' inventories show it.
         links: ``TargetLink`` of each worker, by name of the worker.
-        link_tasks: Tasks that run the links, by name of the worker.
-        recovered: Tasks found on workers before their requests were
-            dispatched here.
-        retired: Whether the owner starts nothing any more.
-        started_ms: Monotonic time in milliseconds of the term's start.
+        recovered: Tasks found on workers before their requests were dispatched
+            here.
         mean_run_ms: Mean run time in milliseconds by lane.
         kind_run_ms: Mean run time in milliseconds by name of the kind.
         held_cores: Cores that patient tasks use, by team.
-        expiries: Pairs of monotonic time in milliseconds and answered
-            request to remove then, in order of time.
+        expiries: Pairs of monotonic time in milliseconds and answered request
+            to remove then, in order of time.
         digest_serial: Serial number of the last digest that changed or was
             repeated.
-        last_digest: That digest.
-        digest_ms: Its monotonic time in milliseconds.
     """
 
     def __init__(self, *, name, term, hosts, node):
@@ -96,13 +90,10 @@
     # Workers.
 
     def update_hosts(self, hosts):
-        """Applies the platform's list of the rack's workers.
+        """Applies the platform's ``HostEntry`` list of the rack's workers.
 
         A new worker gets a link. No tasks are started on a worker that is
         leaving, nor on one that the control log does not list for the rack.
-
-        Args:
-            hosts: ``HostEntry`` of each worker of the rack.
         """
         recorded = self.node.recorded_hosts(self.name)
         for host in hosts:
@@ -123,7 +114,6 @@
                 )
 
     def add_link(self, host):
-        """Returns the link of a new worker, whose task is started."""
         link = target_link.TargetLink(
             host=host,
             client=self.node.target_client(host.address),
@@ -135,7 +125,7 @@
         return link
 
     async def record_hosts(self):
-        """Records new workers in the control log, if there are any."""
+        """Records the workers in the control log if any is missing there."""
         if all(link.recorded for link in self.links.values()):
             return
         hosts = [link.host for link in self.links.values()]
@@ -166,7 +156,6 @@
             )
 
     def on_task_end(self, task, end):
-        """Records the end of a task and may complete its request."""
         completion.on_task_end(self, task, end)
 
     def on_fenced(self, link):
@@ -187,10 +176,6 @@
         A dispatch of a known request only adds its sender. Other requests are
         admitted, unless an earlier dispatch may have started them: these are
         resolved by the inventories first.
-
-        Args:
-            frame: The ``Dispatch``.
-            send: Function that sends a reply frame.
         """
         began_s = time.perf_counter()
         responder = (frame.serial, send)
@@ -225,13 +210,7 @@
             request.decision_us = int(frame.spent_us + own_us)
 
     def new_request(self, frame, kind, responder):
-        """Returns the request of a dispatch, in state ``HELD``.
-
-        Args:
-            frame: The ``Dispatch``.
-            kind: Kind of the request.
-            responder: Serial number and function that sends the reply.
-        """
+        """Returns the request of a dispatch, in state ``HELD``."""
         request = rack_requests.RackRequest(
             request_id=frame.request_id,
             kind=kind,
@@ -247,12 +226,7 @@
         return request
 
     def retry(self, request, earlier):
-        """Runs an idempotent request again whose last outcome was unknown.
-
-        Args:
-            request: The request of the new dispatch.
-            earlier: The request that was answered as unknown.
-        """
+        """Runs an idempotent request again whose last outcome was unknown."""
         request.may_have_run = earlier.may_have_run
         request.failed_workers = earlier.failed_workers
         if request.may_have_run:
@@ -264,12 +238,7 @@
         self.resolve_requests()
 
     def locate(self, frame, send):
-        """Answers whether this rack knows a request.
-
-        Args:
-            frame: The ``Locate``.
-            send: Function that sends a reply frame.
-        """
+        """Answers whether this rack knows a request."""
         rack = self.redirected.get(frame.request_id)
         known = frame.request_id in self.requests
         if self.retired:
@@ -344,11 +313,7 @@
         self.schedule_expiry(request)
 
     def no_restart_since(self, time_ms):
-        """Whether no worker was restarted after a time.
-
-        Args:
-            time_ms: Monotonic time in milliseconds.
-        """
+        """Whether no worker was restarted after a monotonic time."""
         return all(link.up_since_ms <= time_ms for link in self.links.values())
 
     def cancel(self, frame, send):
@@ -356,10 +321,6 @@
 
         If it has tasks, their stop is requested and the reply is sent once
         they have ended.
-
-        Args:
-            frame: The ``CancelFrame``.
-            send: Function that sends a reply frame.
         """
         request = self.requests.get(frame.request_id)
         responder = (frame.serial, send)
@@ -392,11 +353,7 @@
     # Maintenance.
 
     async def run(self):
-        """Maintains the rack until the owner is retired.
-
-        Every ``MAINTENANCE_PERIOD_S`` new workers are recorded, expired
-        answers removed, requests resolved and queued ones started.
-        """
+        """Records new workers and starts queued requests, until retired."""
         while not self.retired:
             await self.record_hosts()
             await asyncio.sleep(MAINTENANCE_PERIOD_S)
@@ -405,10 +362,7 @@
             starting.dispatch_queued(self)
 
     def schedule_expiry(self, request):
-        """Schedules the removal of an answered request.
-
-        It is kept for ``RETAIN_ANSWERS_S`` for senders that ask again.
-        """
+        """Keeps an answered request for senders that ask again."""
         due_ms = clock.monotonic_ms() + RETAIN_ANSWERS_S * clock.MS_PER_S
         self.expiries.append((due_ms, request))
 
@@ -492,26 +446,18 @@
         loop.call_later(RETIRE_GRACE_S, self.answer_waiting_senders)
 
     def answer_waiting_senders(self):
-        """Answers ``MOVED`` to the senders that still wait."""
         for request in self.requests.values():
             if request.reply is None:
                 request.finish(Status.MOVED, started=True)
 
 
 def redirect(responder, rack):
-    """Redirects one sender to another rack."""
     serial, send = responder
     send(frames.Reply(serial=serial, status=Status.REDIRECT, rack=rack))
 
 
 def refuse(responder, code, text):
-    """Refuses the call of one sender.
-
-    Args:
-        responder: Serial number and function that sends the reply.
-        code: The ``ErrorCode``.
-        text: Reason for the caller.
-    """
+    """Refuses the call of one sender with a code and a reason."""
     serial, send = responder
     send(
         frames.Reply(
--- a/packages/cicadafold/src/cicadafold/ownership/rack_requests.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack_requests.py
@@ -60,7 +60,7 @@
         task_id: Identifier of the task.
         link: ``TargetLink`` of its target, or None if the task was never
             on a target.
-        resources: Resources that the task reserves, or None if it reserves none.
+        resources: Resources that the task reserves, or None if it has none.
         on_end: Function that is called with the task and its ``TaskEnd``.
 
     Attributes:
--- a/packages/cicadafold/src/cicadafold/ownership/recovered_tasks.py
+++ b/packages/cicadafold/src/cicadafold/ownership/recovered_tasks.py
@@ -178,17 +178,20 @@
         """
         missing = request.kind.tasks - len(request.tasks) - len(request.ends)
         for index in range(request.kind.tasks if missing > 0 else 0):
-            name = task_ids.task_id(
+            task_id = task_ids.task_id(
                 request.request_id, index, request.kind.tasks
             )
-            if name not in request.tasks and name not in request.ends:
+            if task_id not in request.tasks and task_id not in request.ends:
                 task = rack_requests.TargetTask(
-                    task_id=name, link=None, resources=None, on_end=self.on_end
+                    task_id=task_id,
+                    link=None,
+                    resources=None,
+                    on_end=self.on_end,
                 )
                 end = rack_requests.TaskEnd(
                     reason=rack_requests.EndReason.NOT_STARTED
                 )
-                request.ends[name] = (task, end)
+                request.ends[task_id] = (task, end)
         completion.collect(self.rack, request)
 
 
--- a/packages/cicadafold/src/cicadafold/ownership/target_link.py
+++ b/packages/cicadafold/src/cicadafold/ownership/target_link.py
@@ -38,9 +38,9 @@
 class LinkState(enum.Enum):
     """State of a link.
 
-    ``CONNECTING`` before the first fence, ``READY`` while the worker
-    answers, ``UNREACHABLE`` until it is fenced again, and ``FENCED`` for
-    good once a newer owner has raised the fence.
+    ``CONNECTING`` before the first fence, ``READY`` while the worker answers,
+    ``UNREACHABLE`` until it is fenced again, and ``FENCED`` for good once a
+    newer owner has raised the fence.
     """
 
     CONNECTING = "connecting"
@@ -60,23 +60,17 @@
 
     Attributes:
         inventoried: Whether the inventory was ever read in this term.
-        up_since_ms: Monotonic time in milliseconds at which the worker was
-            last started, as of its first inventory. It knows all tasks that
-            were started on it since.
+        up_since_ms: Monotonic time in milliseconds of the worker's last start,
+            as of its first inventory. It knows all tasks started since.
         recorded: Whether the control log lists the worker for the rack.
-        leaving: Whether the worker accepts no new tasks.
-        capacity: Resources that the worker has and that its tasks reserve.
-        clock: Bounds of the worker's clock.
         epoch: Incarnation of the worker, empty before the first fence.
         tasks: Tasks that may run on the worker, by identifier.
-        to_acknowledge: Identifiers of ended tasks that the next renewal
-            tells the worker to discard.
-        last_reply_ms: Monotonic time in milliseconds of the last reply.
+        to_acknowledge: Identifiers of ended tasks that the next renewal tells
+            the worker to discard.
         renewal_wanted: Set if a renewal should not wait for its period.
         failed_requests: Identifiers of the requests whose tasks have failed
             since the last success.
         quarantine_s: Seconds of the last quarantine, or 0 after a success.
-        quarantined_until_ms: Monotonic time in milliseconds of its end.
     """
 
     def __init__(self, *, host, client, term, rack):
@@ -117,10 +111,7 @@
         return quarantine_over and not self.tasks
 
     async def run(self):
-        """Fences the worker and renews leases until a newer owner fences it.
-
-        After a failure it starts again ``RETRY_PERIOD_S`` later.
-        """
+        """Fences the worker and renews leases, anew after each failure."""
         while self.state is not LinkState.FENCED:
             try:
                 if await self.raise_fence():
@@ -134,11 +125,7 @@
             await asyncio.sleep(RETRY_PERIOD_S)
 
     async def raise_fence(self):
-        """Raises the worker's fence to this term and reads its inventory.
-
-        Returns:
-            Whether the worker is ready.
-        """
+        """Raises the fence and reads the inventory; returns success."""
         try:
             reply = await self.client.fence(self.term)
         except exception.TargetUnreachable:
@@ -164,11 +151,7 @@
         return True
 
     def apply_inventory(self, reports):
-        """Applies the worker's inventory to the tasks and the capacity.
-
-        Args:
-            reports: ``TaskReport`` of every task that the worker knows.
-        """
+        """Applies the worker's reports of all tasks that it knows."""
         by_id = {report.task_id: report for report in reports}
         for task in list(self.tasks.values()):
             self.apply_report(task, by_id.get(task.task_id))
@@ -180,18 +163,11 @@
                 self.rack.on_inventory(self, report)
 
     def track_running(self, report, *, lease_ms, on_end):
-        """Tracks a running task that was found in the inventory.
+        """Tracks a running task of the inventory, whose lease is not known.
 
-        Its lease is assumed to end at most ``lease_ms`` and
-        ``CLOCK_SLACK_MS`` after the lower bound of the worker's clock.
-
-        Args:
-            report: The worker's report of the task.
-            lease_ms: Longest lease in milliseconds that may have been given.
-            on_end: Function that is called with the task and its ``TaskEnd``.
-
-        Returns:
-            The ``TargetTask``; its lease is renewed next.
+        It ends at most ``lease_ms``, the longest lease that may have been
+        given, and ``CLOCK_SLACK_MS`` after the lower bound of the worker's
+        clock. It is renewed next.
         """
         resources = host_capacity.TaskResources(
             cores=report.cores,
@@ -213,17 +189,10 @@
         return task
 
     def start(self, *, task_id, resources, payload, lease_ms, on_end):
-        """Reserves the resources of a task and sends its start.
-
-        Args:
-            task_id: Identifier of the task.
-            resources: Resources that the task needs.
-            payload: Payload, passed to the worker unchanged.
-            lease_ms: Milliseconds that a lease lasts.
-            on_end: Function that is called with the task and its ``TaskEnd``.
+        """Reserves the resources of a task, sends its start and returns it.
 
-        Returns:
-            The ``TargetTask``.
+        The worker receives ``payload`` unchanged. ``on_end`` is called with
+        the task and its ``TaskEnd``.
         """
         task = rack_requests.TargetTask(
             task_id=task_id, link=self, resources=resources, on_end=on_end
@@ -275,14 +244,7 @@
             self.apply_report(task, reply.tasks[0])
 
     def apply_refusal(self, task, refusal):
-        """Ends a task whose start the worker refused.
-
-        A task that the worker knows already is unconfirmed instead.
-
-        Args:
-            task: The ``TargetTask``.
-            refusal: The worker's ``Refusal``.
-        """
+        """Ends a refused task; one that is running already is unconfirmed."""
         if refusal.code is messages.RefusalCode.KNOWN:
             task.unconfirmed = True
             self.renewal_wanted.set()
@@ -306,10 +268,8 @@
     def apply_report(self, task, report):
         """Applies a worker's report of a task.
 
-        Args:
-            task: The ``TargetTask``.
-            report: Its ``TaskReport``, or None if the worker does not know the
-                task. It was not started then if its start deadline is over.
+        A report of None means that the worker does not know the task. It was
+        not started then if its start deadline is over.
         """
         if report is None:
             start_expired = self.clock.worker_ms > task.start_by_ms
@@ -339,7 +299,6 @@
                 return
 
     async def wait_until_due(self):
-        """Waits until a renewal is wanted or the period is over."""
         period_s = BUSY_PERIOD_S if self.tasks else self.idle_period_s()
         try:
             async with asyncio.timeout(period_s):
@@ -358,11 +317,7 @@
         return max(IDLE_PERIOD_S, limited_s)
 
     def is_renewal_due(self):
-        """Whether a lease is to be renewed or a heartbeat is due.
-
-        A heartbeat is due after ``HEARTBEAT_DUE_SHARE`` of the idle period
-        without a reply.
-        """
+        """Whether a lease is to be renewed or a heartbeat is due."""
         now_ms = clock.monotonic_ms()
         silent_ms = now_ms - self.last_reply_ms
         if (
@@ -373,25 +328,16 @@
         return any(self.needs_renewal(t, now_ms) for t in self.tasks.values())
 
     def needs_renewal(self, task, now_ms):
-        """Whether a task is part of the next renewal.
-
-        That is so if the worker must report its state, or if its last renewal
-        is older than both ``RENEW_LEASE_SHARE`` of its lease and
-        ``MIN_RENEW_AFTER_MS``.
-        """
+        """Whether a task is part of the next renewal."""
         if task.unconfirmed:
             return True
         after_ms = max(MIN_RENEW_AFTER_MS, task.lease_ms * RENEW_LEASE_SHARE)
         return now_ms - task.renewed_ms >= after_ms
 
     async def renew(self):
-        """Renews due leases and applies the reports in the reply.
-
-        Without due leases the call is a heartbeat. It also acknowledges ended
-        tasks.
+        """Renews due leases; without any the call is a heartbeat.
 
-        Returns:
-            Whether the worker is still ready.
+        It also acknowledges ended tasks. Returns whether the worker is ready.
         """
         now_ms = clock.monotonic_ms()
         due = [
@@ -435,7 +381,6 @@
         asyncio.create_task(self.send_stop(task))
 
     async def send_stop(self, task):
-        """Sends the stop of a task; a renewal follows, also on failure."""
         try:
             await self.client.stop(task.task_id)
         except (exception.TargetUnreachable, exception.TargetRefused):
@@ -447,11 +392,7 @@
         self.renewal_wanted.set()
 
     def end_lapsed_tasks(self):
-        """Ends the tasks whose leases have certainly lapsed.
-
-        That is so ``LAPSE_MARGIN_MS`` after the end of the lease by the lower
-        bound of the worker's clock.
-        """
+        """Ends the tasks whose leases have certainly lapsed."""
         if self.clock.updated_ms is None:
             return
         worker_ms = self.clock.lower_bound_ms()
@@ -469,20 +410,15 @@
             end_task(task, rack_requests.EndReason.LAPSED)
 
     def release(self, task):
-        """Releases the resources of an ended task."""
         if self.tasks.pop(task.task_id, None) is not None:
             self.capacity.release(task.resources)
 
     def record_reply(self, reply):
-        """Records the worker's clock and the time of a reply."""
         self.clock.update(reply.now_ms)
         self.last_reply_ms = clock.monotonic_ms()
 
     def mark_unreachable(self):
-        """Marks the worker unreachable until it has been fenced again.
-
-        No tasks are started on it meanwhile.
-        """
+        """Marks the worker unreachable until it has been fenced again."""
         if self.state is LinkState.READY:
             LOG.warning(
                 "Worker %s is unreachable; "
@@ -503,12 +439,8 @@
         """Records a result of the worker; repeated failures quarantine it.
 
         ``QUARANTINE_FAILURES`` failed requests without a success in between
-        start a quarantine of ``QUARANTINE_MIN_S``; each further one doubles it
-        up to ``QUARANTINE_MAX_S``. A success ends it.
-
-        Args:
-            request_id: Identifier of the request.
-            failed: Whether its task failed.
+        start a quarantine; each further one doubles it up to
+        ``QUARANTINE_MAX_S``. A success ends it.
         """
         if not failed:
             self.failed_requests.clear()
--- a/packages/cicadafold/src/cicadafold/peerlink/client.py
+++ b/packages/cicadafold/src/cicadafold/peerlink/client.py
@@ -116,7 +116,7 @@
                 return
 
     async def expire_calls(self):
-        """Periodically fails the calls whose time-out has passed."""
+        """Periodically fails the calls whose timeout has passed."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(EXPIRY_CHECK_PERIOD_S)
--- a/packages/cicadafold/src/cicadafold/peerlink/frames.py
+++ b/packages/cicadafold/src/cicadafold/peerlink/frames.py
@@ -70,8 +70,8 @@
     A reply of ``ABSENT`` proves that the rack does not have the request:
     every worker of the rack has been inventoried in the owner's term, and
     dispatches of coordinators before ``attempt`` are refused from then on.
-    For a request that is not idempotent it also proves that no worker has
-    been booted since the request was accepted; if one has, the reply is
+    For a request that is not idempotent it also proves that no worker was
+    restarted since the request was accepted; if one was, the reply is
     ``UNKNOWN``.
 
     Attributes:
--- a/packages/cicadafold/src/cicadafold/peerlink/server.py
+++ b/packages/cicadafold/src/cicadafold/peerlink/server.py
@@ -21,11 +21,11 @@
 def handles(frame_type):
     """Returns a decorator that registers the handler of a type of frame.
 
-    The handler takes the rack service, the frame, and a function that
-    sends the reply.
+    A handler is called with the rack service, the frame, and a function
+    that sends the reply.
 
     Args:
-        frame_type: Class of the frames that the handler takes.
+        frame_type: Class of the frames that the handler is called for.
     """
 
     def register(function):
--- a/packages/cicadafold/src/cicadafold/platform/job_client.py
+++ b/packages/cicadafold/src/cicadafold/platform/job_client.py
@@ -49,7 +49,7 @@
         body = msgspec.json.encode(wire.job_document(job_file))
         status, answer = self.call("POST", job, body)
         if status not in STATUS_ACCEPTED:
-            raise refused(status, answer)
+            raise error_from_status(status, answer)
 
     def state(self, job):
         """Returns the state of a job as text, or None for an unknown job."""
@@ -57,7 +57,7 @@
         if status == STATUS_GONE:
             return None
         if status not in STATUS_ACCEPTED:
-            raise refused(status, answer)
+            raise error_from_status(status, answer)
         return answer.get("state")
 
     def cancel(self, job):
@@ -66,14 +66,14 @@
         if status == STATUS_GONE:
             return False
         if status not in STATUS_ACCEPTED:
-            raise refused(status, answer)
+            raise error_from_status(status, answer)
         return True
 
     def pending(self):
         """Returns the number of jobs in the queue that have not started."""
         status, answer = self.call("GET", "")
         if status not in STATUS_ACCEPTED:
-            raise refused(status, answer)
+            raise error_from_status(status, answer)
         return answer.get("pending")
 
     def call(self, method, job, body=None):
@@ -106,7 +106,7 @@
             ) from error
 
 
-def refused(status, answer):
+def error_from_status(status, answer):
     """Returns the exception for a call whose status is an error."""
     message = str(answer.get("error", f"status {status}"))
     if status in (429, 503):
--- a/packages/cicadafold/src/cicadafold/platform/job_server.py
+++ b/packages/cicadafold/src/cicadafold/platform/job_server.py
@@ -50,7 +50,7 @@
         try:
             answer = await self.route(request)
         except exception.CicadafoldError as error:
-            answer = refusal(error)
+            answer = error_response(error)
         except ValueError as error:
             answer = web.json_response({"error": str(error)}, status=400)
         self.metrics.count(
@@ -177,7 +177,7 @@
     return min(request_deadline(request), loop.time() + QUERY_TIMEOUT_S)
 
 
-def refusal(error):
+def error_response(error):
     """Returns the HTTP response for a call that failed."""
     headers = {}
     if error.status in (429, 503):
--- a/packages/cicadafold/src/cicadafold/platform/log_store.py
+++ b/packages/cicadafold/src/cicadafold/platform/log_store.py
@@ -82,7 +82,7 @@
 
 
 class LogStore:
-    """Calls the platform's store. All times are in milliseconds.
+    """Calls the platform's store. Attributes hold times in milliseconds.
 
     Args:
         session: HTTP client session, which keeps its connections open.
--- a/packages/cicadafold/src/cicadafold/platform/wire.py
+++ b/packages/cicadafold/src/cicadafold/platform/wire.py
@@ -175,7 +175,7 @@
         job: Identifier of the job.
         rule: Rule of the queue of the job.
         accepted_ms: Unix time of the acceptance in milliseconds.
-        waited_ms: Milliseconds that the call had waited before.
+        waited_ms: Milliseconds that the call had waited before then.
 
     Raises:
         ValueError: The body cannot be decoded, or a value is out of range.
--- a/packages/cicadafold/src/cicadafold/service/caller_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/caller_calls.py
@@ -43,7 +43,7 @@
 
 
 def require_kind_and_team(node, submit):
-    """Returns the configured kind of a request.
+    """Checks the kind and the team of a request, and returns the kind.
 
     Args:
         node: This process.
@@ -145,7 +145,7 @@
 async def recorded_entry(node, request_id):
     """Returns the entry of a recorded request.
 
-    If the replayed state has no entry, the control log is read to its end
+    If the control state has no entry, the control log is read to its end
     first, as another entry host may just have accepted the request.
 
     Raises:
--- a/packages/cicadafold/src/cicadafold/service/peer_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/peer_calls.py
@@ -19,7 +19,7 @@
 
 @registry.call("POST", "/peer/gossip", registry.Role.PEER)
 async def gossip(node, request):
-    """Receives heartbeats and digests of a peer and answers with ours."""
+    """Merges a peer's gossip message and answers with one of this process."""
     body = node.gossiper.handle_message(await codec.read_body(request))
     return web.Response(body=body, content_type="application/json")
 
--- a/packages/cicadafold/src/cicadafold/settings/cell.py
+++ b/packages/cicadafold/src/cicadafold/settings/cell.py
@@ -16,7 +16,7 @@
         member: Name of the host.
         domain: Failure domain of the host.
         region: Region of the host.
-        caller_address: Address for callers, IP number and port, as below.
+        caller_address: Address for callers: IP number and port, as all others.
         ready_address: Address for readiness checks.
         peer_address: Address for links of the other processes.
         metrics_address: Address that serves the metrics.
@@ -27,7 +27,8 @@
         status_s: Seconds for which the state of an ended job is kept.
         member_ttl_ms: Milliseconds after which the store removes a process
             that does not renew its membership.
-        grace_s: Seconds between the request to stop and the kill.
+        grace_s: Seconds from the platform's request to stop until it kills the
+            process.
         cores: CPU cores of the host, times the share of them that the process
             may use.
         link_mbps: Bandwidth of the host's network link in megabits a
