--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -269,7 +269,7 @@
         self.address_broadcaster.schedule()
 
     async def serve_peer(self, request):
-        """Handles the HTTP request of a peer that opens a link."""
+        """Serves the link that a peer opens with an HTTP request."""
         socket = web.WebSocketResponse(
             heartbeat=PEER_HEARTBEAT_S, max_msg_size=MAX_MESSAGE_BYTES
         )
--- a/packages/cicadafold/src/cicadafold/daemon/node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/node.py
@@ -246,17 +246,12 @@
         return self.tail.ready and self.own_member() is not None
 
     async def call_member(self, member, lane, frame, *, timeout_s):
-        """Sends a frame to a member, which may be this one.
+        """Sends a frame to a member, maybe this one, and returns its reply.
 
         Args:
-            member: Member to call.
-            lane: Priority lane of the request.
-            frame: Frame to send.
+            lane: Priority lane of the request, which selects the link.
             timeout_s: Seconds to wait for the reply.
 
-        Returns:
-            The reply.
-
         Raises:
             LinkNotOpen: The link is not open; nothing was sent.
             LinkLost: The link failed or no reply came in time; the member
@@ -272,11 +267,7 @@
         return await link.call(frame, timeout_s=timeout_s)
 
     def on_records(self, found):
-        """Updates the worker table and the view after new control records.
-
-        Args:
-            found: Control records, in the order of the log.
-        """
+        """Updates the table of workers and the view by new control records."""
         if any(isinstance(r, records.RackHosts) for r in found):
             self.hosts.rebuild()
         for record in found:
@@ -355,10 +346,6 @@
         """Records in the control log which workers a rack's owner may use.
 
         The owner gets its new workers only once the record is durable.
-
-        Args:
-            owner: Owner of the rack in this process.
-            hosts: Workers of the rack.
         """
         record = records.RackHosts(
             rack=owner.name, term=owner.term, hosts=hosts
@@ -367,12 +354,9 @@
             owner.update_hosts(self.hosts.hosts_in_rack(owner.name))
 
     async def append_and_apply(self, record):
-        """Appends a control record and waits until it is applied here.
-
-        The wait for the replay is limited to ``APPLY_TIMEOUT_S``.
+        """Appends a control record; returns whether it is surely durable.
 
-        Returns:
-            Whether the record is known to be durable.
+        If it is, waits up to ``APPLY_TIMEOUT_S`` until it is applied here.
         """
         try:
             offset = await self.appender.append(record)
@@ -461,11 +445,7 @@
         return True
 
     async def confirm_owner(self, owner):
-        """Whether a read of the control log from now on shows no newer claim.
-
-        Args:
-            owner: Owner of the rack in this process.
-        """
+        """Whether a new read of the control log shows no later claim."""
         reached = await self.tail.catch_up(timeout_s=CONFIRM_TIMEOUT_S)
         current = self.tail.state.owners.get(owner.name)
         return (
@@ -476,7 +456,7 @@
         )
 
     def on_superseded(self, owner):
-        """Stops owning a rack after a target has seen a newer fence."""
+        """Retires a rack's owner after a target has seen a newer fence."""
         self.rack_claimer.retire_owner(owner)
 
     # Recorded requests
--- a/packages/cicadafold/src/cicadafold/dispatch/advising.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/advising.py
@@ -27,7 +27,7 @@
 # A ticket is not used in the last part of its validity, as it has to reach
 # its worker before it expires.
 TICKET_MARGIN_MS = 120.0
-# Pause before a peer whose call failed is used again; the log line names it.
+# Pause before a peer whose call failed is used again.
 RETRY_PAUSE_MS = 100.0
 
 LOG = logs.get_logger("advice")
@@ -97,8 +97,8 @@
     """Requests placement advice through free peers, in order of rank.
 
     Args:
-        peers: Function that returns the handles of all processes that are
-            connected now, including the own one.
+        list_peers: Function that returns the handles of this process and
+            its peers.
         spawn: Function that runs a coroutine as a task.
         wake: Function called after each call, so that its tickets are used.
         record_permitted_share: Function called with a step, the number of
@@ -109,8 +109,10 @@
         queued: Requests that are not sent yet, lowest rank first.
     """
 
-    def __init__(self, *, peers, spawn, wake, record_permitted_share, metrics):
-        self.peers = peers
+    def __init__(
+        self, *, list_peers, spawn, wake, record_permitted_share, metrics
+    ):
+        self.list_peers = list_peers
         self.spawn = spawn
         self.wake = wake
         self.record_permitted_share = record_permitted_share
@@ -131,7 +133,7 @@
         if not self.queued:
             return
         now_ms = clock.monotonic_ms()
-        peers = [x for x in self.peers() if now_ms >= x.paused_until_ms]
+        peers = [x for x in self.list_peers() if now_ms >= x.paused_until_ms]
         short_only = (
             len(peers) // PEERS_PER_SHORT_ONLY_PEER if len(peers) > 1 else 0
         )
@@ -187,7 +189,8 @@
             exception.LinkNotOpen,
         ) as error:
             LOG.warning(
-                "Advice call failed, pausing its peer for 100 ms: %s",
+                "Advice call failed, pausing its peer for %g ms: %s",
+                RETRY_PAUSE_MS,
                 error,
                 fields={"request_id": step.job.spec.id, "line": peer.member},
             )
--- a/packages/cicadafold/src/cicadafold/dispatch/handover.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/handover.py
@@ -74,7 +74,7 @@
         """Returns the handle of a peer that the store answers, or None.
 
         The store must have answered the peer after the failures of this
-        process began. Otherwise the store is down for all processes, and the
+        process started. Otherwise the store is down for all processes, and the
         term continues here.
         """
         peers = [peer for peer in self.list_peers() if peer.store_age_ms]
--- a/packages/cicadafold/src/cicadafold/dispatch/inherited_runs.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/inherited_runs.py
@@ -109,7 +109,7 @@
         return [task.name for task in possible_runs]
 
     def is_long_silent(self, worker):
-        """Whether a worker has been silent for longer than one lost answer.
+        """Whether a worker has been silent for ``MIN_SILENCE_MS`` or longer.
 
         Args:
             worker: State of the worker.
@@ -122,7 +122,7 @@
     def on_worker_answered(self, name):
         """Lets the tasks that a worker was recorded with be started again.
 
-        The inventory of the worker now tells which of them it still runs.
+        The inventory of the worker now lists which of them it still runs.
 
         Args:
             name: Name of the worker.
--- a/packages/cicadafold/src/cicadafold/dispatch/job_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/job_table.py
@@ -28,9 +28,9 @@
         metrics: Metrics in which ended jobs are counted.
 
     Attributes:
-        jobs: All jobs with a description, by identifier.
+        jobs: All jobs with a specification, by identifier.
         active: Those of them that have not ended.
-        ended: Final states of jobs whose description has been dropped.
+        ended: Final states of jobs whose specification has been dropped.
         rules: Configured rules by name of the queue.
     """
 
@@ -58,7 +58,7 @@
         """Adds an accepted job and returns its running state.
 
         Args:
-            spec: Description of the job.
+            spec: Specification of the job.
             inherited: Whether a scheduler of an earlier term may have
                 started tasks of it.
         """
@@ -96,7 +96,7 @@
         """Adds a job from the journal and returns its running state.
 
         Args:
-            spec: Description of the job.
+            spec: Specification of the job.
             progress: Recorded progress, or None if there is none.
             cancelled: Whether a cancellation is recorded.
         """
@@ -111,7 +111,7 @@
         return job
 
     def restore_ended(self, job_id, progress):
-        """Adds an ended job whose description has been dropped.
+        """Adds an ended job whose specification has been dropped.
 
         Args:
             job_id: Identifier of the job.
--- a/packages/cicadafold/src/cicadafold/dispatch/placing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/placing.py
@@ -244,7 +244,7 @@
         )
 
     def rank_of(self, step, now_ms):
-        """Returns the rank of a step; ties are broken by its identity."""
+        """Returns the rank of a step; the step's name breaks ties."""
         job = step.job
         task_ms = self.estimates.step_task_duration_ms(step)
         waiting = ranking.WaitingStep(
--- a/packages/cicadafold/src/cicadafold/dispatch/record_cleanup.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/record_cleanup.py
@@ -1,7 +1,7 @@
 """Drops journal records that are no longer needed.
 
-The description of a job is dropped as soon as its end is recorded, so that a
-new scheduler has less to read. The record of the end is kept for as long as
+The specification of a job is dropped as soon as its end is recorded, so that
+a new scheduler has less to read. The record of the end is kept for as long as
 callers may ask for it.
 """
 
@@ -24,7 +24,7 @@
 
 
 class RecordCleaner:
-    """Drops the descriptions of ended jobs, and later their ends.
+    """Drops the specifications of ended jobs, and later their ends.
 
     Args:
         store: Client of the store.
@@ -38,7 +38,7 @@
         kept_ms: Milliseconds for which an end is kept.
         partitions: Sets of journal partitions that hold records of a job, by
             identifier of the job.
-        ended: Identifiers of jobs whose description has to be dropped.
+        ended: Identifiers of jobs whose specification has to be dropped.
         ends: Monotonic times in milliseconds at which jobs were added, by
             identifier, oldest first.
     """
@@ -84,7 +84,7 @@
             self.on_end_dropped(job)
 
     async def drop(self, partition, jobs):
-        """Drops the descriptions of jobs from one partition.
+        """Drops the specifications of jobs from one partition.
 
         If the store cannot be reached, the next round tries again.
 
--- a/packages/cicadafold/src/cicadafold/dispatch/runs.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/runs.py
@@ -11,7 +11,7 @@
 # Factor on the time until a lease ends by the worker's clock. The platform
 # guarantees that this clock is at most 2% slow.
 SLOW_CLOCK_FACTOR = 1.02
-# Added to the time after which a lease is taken as expired.
+# Added to the time after which a lease is taken as lapsed.
 LEASE_MARGIN_MS = 150.0
 # Assumed time until a draining worker leaves if it does not report one.
 DEFAULT_DRAIN_MS = 2500.0
@@ -47,7 +47,7 @@
         task: Task, or None if its job is not known.
         name: Name of the task.
         attempt: Number of the attempt.
-        worker: Worker that was told to run the task.
+        worker: Worker that the start command is sent to.
         room: Resources that are reserved on the worker until the run attempt
             is known to be gone.
         state: State as the scheduler knows it.
@@ -158,9 +158,9 @@
             attempts again, or None.
         silent_since_ms: Time of the first unanswered call, or None while the
             worker answers.
-        lapse_at_ms: Time after which all leases have expired, or None while
+        lapse_at_ms: Time after which all leases have lapsed, or None while
             the worker answers.
-        lapsed: Whether all leases have expired.
+        lapsed: Whether all leases have lapsed.
         fenced: Whether the worker has accepted the fence of this term.
         quarantined_until_ms: Time before which it gets no new run attempts.
         quarantines_in_a_row: Number of quarantines since the last success.
@@ -273,7 +273,7 @@
         return until
 
     def mark_silent(self, now_ms, longest_ms):
-        """Records an unanswered call and when the worker's leases expire.
+        """Records an unanswered call and when the worker's leases lapse.
 
         Args:
             now_ms: Monotonic time in milliseconds.
--- a/packages/cicadafold/src/cicadafold/dispatch/term.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/term.py
@@ -50,19 +50,16 @@
     """The scheduler of one term: its state, components and tasks.
 
     Args:
-        number: Number of the term, which is also its fencing token for the
-            workers and the journal.
+        number: Number of the term, its fence at the workers and the journal.
         store: Client of the store.
         registry: Reader of the registry of workers.
         make_client: Function that returns the client of a worker, from its
             report and the number of the term.
-        list_peers: Function that returns the handles of this process and its
-            peers.
-        configuration: Holder of the newest configuration.
-        read_newest_claim: Coroutine function that reads the newest claim
-            from the store.
-        longest_lease_ms: Longest lease that a worker grants, in
-            milliseconds.
+        list_peers: Function that returns the handles of this process and
+            its peers.
+        configuration: ``Routes`` with the newest configuration.
+        read_newest_claim: Coroutine function that reads the newest claim.
+        longest_lease_ms: Longest lease that a worker grants, in ms.
         status_s: Seconds for which the state of an ended job is kept.
         uses_advice: Whether there is an advice service.
         election_priority: Election priority of this process.
@@ -153,11 +150,7 @@
         )
 
     def on_durable(self, states):
-        """Handles that job states have become durable in the journal.
-
-        Args:
-            states: Pairs of a job and its durable state.
-        """
+        """Handles pairs of a job and its state, now durable in the journal."""
         self.job_table.on_durable(states)
         for job, state in states:
             if state.final:
@@ -169,11 +162,7 @@
         self.journal_state.remove_job(job_id)
 
     def step_down(self, reason):
-        """Ends the term; the first reason given is kept.
-
-        Args:
-            reason: Why the term ends, for the log.
-        """
+        """Ends the term and keeps the first reason given, for the log."""
         if not self.ended.is_set():
             self.end_reason = reason
             self.ended.set()
@@ -229,7 +218,7 @@
         )
         if self.uses_advice:
             self.placer.advice_dispatcher = advising.AdviceDispatcher(
-                peers=self.list_peers,
+                list_peers=self.list_peers,
                 spawn=self.task_group.create_task,
                 wake=self.placer.wake,
                 record_permitted_share=(
@@ -249,20 +238,15 @@
         )
 
     async def raise_when_ended(self):
-        """Ends the task group of the term once the term has to end.
-
-        Raises:
-            TermEnded: The term has to end.
-        """
+        """Raises ``TermEnded``, which ends all tasks, when the term ends."""
         await self.ended.wait()
         raise TermEnded(self.end_reason)
 
     async def recover_and_run(self):
         """Recovers the state of earlier terms, then starts all loops.
 
-        Fences the journal, reads it, loads the record of workers and starts
-        the worker links. Then starts the loops that place, watch and pace
-        tasks and that clean up records.
+        Fences and reads the journal, then opens the links to the workers.
+        The loops place, watch and pace tasks and clean up records.
 
         Raises:
             TermEnded: A later term has fenced the journal.
@@ -315,11 +299,7 @@
         )
 
     def restore_jobs(self, state):
-        """Adds the jobs of the journal to the table of jobs.
-
-        Args:
-            state: Content of the journal.
-        """
+        """Adds the jobs of the journal to the job table."""
         for job, spec in state.specs.items():
             self.job_table.restore(
                 spec, state.progress.get(job), cancelled=job in state.cancelled
@@ -335,10 +315,9 @@
         self.step_down(await self.handover.run())
 
     async def write_progress(self):
-        """Records the progress of jobs until a later term starts.
+        """Records job progress; raises ``TermEnded`` when a later term starts.
 
-        Raises:
-            TermEnded: A later term has fenced the journal.
+        The later term fences the journal, so that an append fails.
         """
         try:
             await self.journal.run()
@@ -364,8 +343,7 @@
 
         Args:
             job_id: Identifier of the job.
-            from_host: Whether the entry host that accepted the job has
-                notified this process directly.
+            from_host: Whether the job's entry host has sent it directly.
         """
         state = self.journal_state
         job = self.job_table.jobs.get(job_id)
@@ -397,16 +375,12 @@
         self.placer.wake()
 
     def job_state(self, job_id):
-        """Returns the state of a job that callers may be shown.
+        """Returns the state of a job that callers may see, None if unknown.
 
-        Final states are returned only after they have been recorded.
-
-        Returns:
-            The state; None if there is no such job.
+        A final state is returned only once it is recorded.
 
         Raises:
-            Starting: The journal has not been read up to now, so that the
-                state of the job is not known.
+            Starting: The journal has not been read up to now.
         """
         if not self.ready:
             raise scheduler_client.starting_error()
@@ -436,19 +410,15 @@
     def commands_allowed(self):
         """Whether the term may send commands to workers.
 
-        It may not after it has to end, and after a stall of the process
-        until the newest claim has been read.
+        It may not once it has to end, nor between a stall of the process and
+        the next read of the newest claim.
         """
         return (
             not self.ended.is_set() and self.stall_detector.commands_allowed()
         )
 
     def has_read_up_to(self, time_ms):
-        """Whether all job records that existed at a time have been read.
-
-        Args:
-            time_ms: Monotonic time, in milliseconds.
-        """
+        """Whether all job records from before a monotonic time are read."""
         time_s = time_ms / clock.MS_PER_S
         return all(tail.complete_until_s > time_s for tail in self.job_tails)
 
@@ -466,9 +436,6 @@
     def pending(self, queue):
         """Returns the number of jobs of a queue that have not started.
 
-        Args:
-            queue: Name of the queue.
-
         Raises:
             Starting: The journal has not been read up to now.
         """
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/conftest.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/conftest.py
@@ -8,7 +8,7 @@
 @pytest.fixture
 def report():
     """Returns the registry report of a worker with sixteen cores."""
-    return model.HostReport(
+    return model.WorkerReport(
         id="w",
         pool="p",
         address="127.0.0.1:1",
--- a/packages/cicadafold/src/cicadafold/dispatch/tests/test_record_cleanup.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/tests/test_record_cleanup.py
@@ -35,7 +35,7 @@
     )
 
 
-def test_description_is_dropped_and_the_end_is_kept(appended, monkeypatch):
+def test_specification_is_dropped_and_the_end_is_kept(appended, monkeypatch):
     """The end is kept for 1.5 times the 120 s in which callers may ask."""
     forgotten, dropped = [], []
     cleaner = make_cleaner(appended, forgotten, dropped)
--- a/packages/cicadafold/src/cicadafold/dispatch/ticketing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/ticketing.py
@@ -1,6 +1,6 @@
 """Plans advice calls: for which steps, and about which workers.
 
-The advice service tells on which workers a policy of the queue permits a
+The advice service answers on which workers a policy of the queue permits a
 step, and grants a ticket for each of them.
 """
 
--- a/packages/cicadafold/src/cicadafold/dispatch/watching.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/watching.py
@@ -12,8 +12,7 @@
 
 PERIOD_S = 0.25
 # A run attempt whose progress has not grown for this long is stalled; the
-# slowest healthy one gains one percent in a fraction of this time. The log
-# line names the limit.
+# slowest healthy one gains one percent in a fraction of this time.
 STALL_MS = 2500.0
 # Quarantine of a worker on which a run attempt stalled.
 QUARANTINE_MS = 4000.0
@@ -28,7 +27,7 @@
 MIN_SPEED = 0.05
 FULL_PERCENT = 100.0
 # Steps that wait longer than this are logged, at most MAX_REPORTED of them
-# in each period. The log line names the limit.
+# in each period.
 LONG_WAIT_MS = 4000.0
 REPORT_PERIOD_S = 2.0
 MAX_REPORTED = 5
@@ -82,7 +81,7 @@
                 self.workers[name].speed = speed
 
     def report_waiting(self, now_ms):
-        """Logs the steps that have waited longest, beyond LONG_WAIT_MS."""
+        """Logs the steps that have waited longest, beyond ``LONG_WAIT_MS``."""
         waiting = [
             step
             for job in self.job_table.active.values()
@@ -96,7 +95,8 @@
         waiting.sort(key=lambda step: step.ready_ms)
         for step in waiting[:MAX_REPORTED]:
             LOG.info(
-                "Step has been ready for more than 4 s with waiting tasks.",
+                "Step has been ready for more than %g ms with waiting tasks.",
+                LONG_WAIT_MS,
                 fields=waiting_log_fields(step, now_ms),
             )
 
@@ -112,8 +112,9 @@
                 continue
             worker.quarantined_until_ms = now_ms + QUARANTINE_MS
             LOG.warning(
-                "Run attempt made no progress for 2.5 s; stopping it and"
+                "Run attempt made no progress for %g ms; stopping it and"
                 " quarantining its worker.",
+                STALL_MS,
                 fields=runs.run_log_fields(run) | {"percent": run.percent},
             )
             run.task.step.avoided_workers.add(worker.report.id)
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
@@ -83,7 +83,7 @@
         return self.estimates.step_task_duration_ms(task.step)
 
     def on_capacity_changed(self):
-        """Handles that free capacity may have increased."""
+        """Requests a placement pass, as free capacity may have increased."""
         self.wake()
 
     def on_fenced(self, worker):
@@ -93,11 +93,11 @@
         )
 
     def on_silent(self, worker):
-        """Handles that a worker has stopped answering."""
+        """Handles a worker that has stopped answering."""
         self.on_answering_changed(worker, answers=False)
 
     def on_answering(self, worker):
-        """Handles that a worker answers for the first time, or again."""
+        """Handles a worker that answers for the first time, or again."""
         self.on_answering_changed(worker, answers=True)
 
     def stop_run(self, run):
@@ -263,7 +263,7 @@
                     self.stop_run(run)
 
     def on_run_gone(self, worker, run, reason):
-        """Handles that a run attempt is proved to be gone without an end.
+        """Handles a run attempt that is proved to be gone without an end.
 
         Args:
             worker: Worker of the run attempt.
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -68,13 +68,7 @@
         worker: State of the worker.
         client: Client of the worker.
         lease: Durations of leases.
-        events: Handler of what the link observes, with the methods
-            ``on_end(worker, end, run)``,
-            ``on_unexpected_run(worker, row)``,
-            ``on_run_gone(worker, run, reason)``, ``on_silent(worker)``,
-            ``on_answering(worker)``, ``on_capacity_changed()``,
-            ``on_fenced(worker)``, ``expected_ms(run)`` and
-            ``spawn(coroutine)``.
+        events: ``WorkerEventHandler`` that the link reports to.
         journal: Writer of progress, whose ``durable_batch`` is the number of
             the newest batch of records that is durable.
 
@@ -138,7 +132,7 @@
 
         Args:
             wait: Whether to extend the lease and let the worker hold the
-                call until a task ends; false only asks for the inventory.
+                call until a task ends; False only asks for the inventory.
 
         Raises:
             TargetUnreachable: The worker has not answered, or has refused
@@ -184,10 +178,10 @@
         return worker.acknowledged
 
     def on_renewal_refused(self, result):
-        """Handles a renewal that the worker has refused.
+        """Closes the link if the fence of a later term refused the renewal.
 
         Raises:
-            TargetUnreachable: The reason is not the fence of a later term.
+            TargetUnreachable: The worker refused for another reason.
         """
         if result is Result.FENCED:
             self.events.on_fenced(self.worker)
@@ -222,13 +216,7 @@
             self.events.on_capacity_changed()
 
     def on_inventory(self, inventory, sent_ms):
-        """Applies an inventory of the worker.
-
-        Args:
-            found: The inventory.
-            sent_ms: Monotonic time, in milliseconds, at which it was
-                requested.
-        """
+        """Applies an inventory that was requested at ``sent_ms``."""
         worker = self.worker
         now_ms = clock.monotonic_ms()
         if worker.silent_since_ms is not None:
@@ -253,13 +241,12 @@
         self.events.on_capacity_changed()
 
     def on_new_incarnation(self, inventory, listed, sent_ms):
-        """Handles that the worker has restarted.
+        """Handles a restart of the worker.
 
         Args:
-            found: First inventory of the new incarnation.
+            inventory: First inventory of the new incarnation.
             listed: Task names and attempts in the inventory.
-            sent_ms: Monotonic time, in milliseconds, at which the inventory
-                was requested.
+            sent_ms: Monotonic time of its request, in milliseconds.
         """
         worker = self.worker
         LOG.warning(
@@ -275,7 +262,7 @@
         for run in list(worker.runs.values()):
             answered = run.answered_ms is not None
             if run.key in listed or (answered and run.answered_ms >= sent_ms):
-                # The new incarnation may run it; the next inventory tells.
+                # The new incarnation may run it; the next inventory shows it.
                 continue
             # A late start command may still reach the new incarnation, which
             # does not know of stops that the old one has answered.
@@ -290,8 +277,8 @@
         """Applies an end of an inventory, unless it was applied before.
 
         Returns:
-            Whether the end has been applied. If not, the next inventory
-            lists it and all later ones again.
+            Whether it has been applied; if not, the next inventory lists it
+            and all later ones again.
         """
         worker = self.worker
         if end.number <= worker.handled_end:
@@ -309,12 +296,7 @@
         return True
 
     def apply_progress(self, rows, now_ms):
-        """Applies the progress of the running tasks of an inventory.
-
-        Args:
-            rows: Running tasks.
-            now_ms: Monotonic time, in milliseconds.
-        """
+        """Applies the progress of the running tasks of an inventory."""
         for row in rows:
             run = self.worker.runs.get((row.name, row.attempt))
             if run is None:
@@ -338,11 +320,6 @@
 
         The speed is the progress since the last measurement, divided by the
         progress expected in that time.
-
-        Args:
-            run: The run attempt.
-            row: Its entry in the inventory.
-            now_ms: Monotonic time, in milliseconds.
         """
         previous_ms, previous = run.rate_measured_ms, run.percent
         if previous_ms is not None and now_ms - previous_ms < MIN_MEASURED_MS:
@@ -362,12 +339,7 @@
         """Removes the run attempts that the worker no longer lists.
 
         Only those are removed whose start or stop the worker had answered
-        before the inventory was requested.
-
-        Args:
-            listed: Task names and attempts in the inventory.
-            sent_ms: Monotonic time, in milliseconds, at which the inventory
-                was requested.
+        before ``sent_ms``, the time at which the inventory was requested.
         """
         for run in list(self.worker.runs.values()):
             if run.key in listed:
@@ -387,10 +359,6 @@
     async def start(self, run, command):
         """Sends a start command and applies its result.
 
-        Args:
-            run: Run attempt to start.
-            command: Start command.
-
         Returns:
             Result of the command; None if it was not answered.
         """
@@ -431,10 +399,6 @@
         If the command was sent, the worker may still carry it out, so the
         resources stay reserved and the run attempt is stopped. Otherwise the
         run attempt is removed.
-
-        Args:
-            run: Run attempt of the command.
-            error: Why there is no answer.
         """
         if not error.sent and run.state is State.STARTING:
             self.events.on_run_gone(self.worker, run, "unreachable")
@@ -463,11 +427,7 @@
             run.stop_in_progress = False
 
     async def send_stop(self, run):
-        """Sends one stop command.
-
-        Returns:
-            Whether no further stop command is needed.
-        """
+        """Sends one stop command; returns whether no further one is needed."""
         if run.state is State.STARTING:
             # The start command is still in flight; once it is answered or
             # has timed out, the state changes.
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
@@ -31,7 +31,7 @@
         registry: Reader of the registry of workers.
         make_client: Function that returns the client of a worker, from its
             report and the number of the term.
-        lease: Durations of leases.
+        lease: ``LeaseTimes`` of the links.
         journal: Writer of progress, which also records the workers.
         term_started_ms: Monotonic time of the term's start, in milliseconds.
 
@@ -127,7 +127,7 @@
             self.spawn(link.run())
 
     def on_removed(self, name):
-        """Handles that a worker was removed from the registry."""
+        """Handles the removal of a worker from the registry."""
         LOG.info(
             "A worker was removed from the registry.",
             fields={"worker": name},
@@ -145,7 +145,7 @@
             self.workers[name].listed = False
 
     def on_answering_changed(self, worker, *, answers):
-        """Handles that a worker answers again, or has become silent."""
+        """Handles a worker that answers again or has become silent."""
         if answers:
             self.inherited_runs.on_worker_answered(worker.report.id)
         self.changed = True
--- a/packages/cicadafold/src/cicadafold/jobs/model.py
+++ b/packages/cicadafold/src/cicadafold/jobs/model.py
@@ -10,7 +10,7 @@
     "Configuration",
     "EndReport",
     "EndKind",
-    "HostReport",
+    "WorkerReport",
     "JobId",
     "JobSpec",
     "JobState",
@@ -280,7 +280,7 @@
         name: Name of the pool.
         guards_room: Whether its workers reject a start that exceeds their
             free capacity.
-        standby: Whether its hosts are switched off.
+        standby: Whether its workers are switched off.
     """
 
     name: str
@@ -304,8 +304,8 @@
     max_body_bytes: int
 
 
-class HostReport(msgspec.Struct, frozen=True):
-    """Entry of a worker in the platform's registry.
+class WorkerReport(msgspec.Struct, frozen=True):
+    """Report of a worker in the platform's registry.
 
     Attributes:
         id: Name of the worker.
--- a/packages/cicadafold/src/cicadafold/jobs/runtime_state.py
+++ b/packages/cicadafold/src/cicadafold/jobs/runtime_state.py
@@ -179,8 +179,8 @@
             finished occurrences.
         finished: Numbers of the occurrences whose steps are all done.
         state: Current state.
-        reported_state: State that callers are told; a final state is first
-            made durable in the journal.
+        reported_state: State that callers see; a final state only once it
+            is durable in the journal.
         started: Whether any task of the job has been started.
         inherited: Whether a scheduler of an earlier term may have started
             tasks of the job.
--- a/packages/cicadafold/src/cicadafold/journal/records.py
+++ b/packages/cicadafold/src/cicadafold/journal/records.py
@@ -75,7 +75,7 @@
             not known.
     """
 
-    report: model.HostReport
+    report: model.WorkerReport
     tasks: list[model.TaskName] | None = None
 
 
--- a/packages/cicadafold/src/cicadafold/peers/directory.py
+++ b/packages/cicadafold/src/cicadafold/peers/directory.py
@@ -61,7 +61,7 @@
         self.preferred = set()
 
     def add_routes(self, router):
-        """Adds the routes for announced claims and take-over requests.
+        """Adds the routes for announced claims and takeover requests.
 
         Args:
             router: Router of the application for peers.
@@ -138,7 +138,7 @@
                         return True
             except (aiohttp.ClientError, OSError, TimeoutError) as error:
                 LOG.info(
-                    "A preferred host did not answer a take-over request: %r",
+                    "A preferred host did not answer a takeover request: %r",
                     error,
                 )
         return False
@@ -156,7 +156,7 @@
             )
         except msgspec.MsgspecError as error:
             LOG.warning(
-                "Could not decode a take-over request, which is refused: %s",
+                "Could not decode a takeover request, which is refused: %s",
                 error,
             )
             return web.Response(status=400)
--- a/packages/cicadafold/src/cicadafold/platform/wire.py
+++ b/packages/cicadafold/src/cicadafold/platform/wire.py
@@ -333,7 +333,7 @@
     draining = DRAINING_BY_STATE.get(found.state)
     if draining is None:
         return None
-    return model.HostReport(
+    return model.WorkerReport(
         id=worker,
         pool=found.service,
         address=found.address,
--- a/packages/cicadafold/src/cicadafold/scheduling/estimates.py
+++ b/packages/cicadafold/src/cicadafold/scheduling/estimates.py
@@ -93,6 +93,6 @@
     """
     ends = []
     for step in steps:
-        begin = max((ends[number] for number in step.after), default=0.0)
-        ends.append(begin + duration_ms_of(step))
+        start_ms = max((ends[number] for number in step.after), default=0.0)
+        ends.append(start_ms + duration_ms_of(step))
     return max(ends, default=0.0)
