--- a/deploy/run.py
+++ b/deploy/run.py
@@ -1,4 +1,4 @@
-"""Runs a process of the cell from a checkout, without an installation."""
+"""Runs a process of the cell from a checkout, without installing it."""
 
 import pathlib
 import sys
--- a/examples/submit_and_wait.py
+++ b/examples/submit_and_wait.py
@@ -1,6 +1,7 @@
-"""A caller that repeats its request safely until it has an answer.
+"""Caller that repeats its request until it receives a final answer.
 
-Run it as ``python submit_and_wait.py ADDRESS KIND TEAM``.
+Every attempt has the same request id, so that repeating is safe. Run it as
+``python submit_and_wait.py ADDRESS KIND TEAM``.
 """
 
 import asyncio
@@ -11,19 +12,24 @@
 
 MAX_ATTEMPTS = 20
 DEFAULT_PAUSE_MS = 100
-MILLISECONDS = 1000
+MS_PER_S = 1000
 REPEATABLE = ("not_run", "accepted", "unanswered")
 
 
 async def submit(session, address, kind, team):
-    """Submits one request under one id until its outcome is final."""
-    asked = {"request_id": uuid.uuid4().hex, "kind": kind, "team": team}
+    """Submits a request and repeats it under the same id.
+
+    Returns:
+        The decoded answer with a final outcome, or the last answer after
+        ``MAX_ATTEMPTS`` attempts.
+    """
+    submission = {"request_id": uuid.uuid4().hex, "kind": kind, "team": team}
     for attempt in range(1, MAX_ATTEMPTS + 1):
-        asked["attempt"] = attempt
+        submission["attempt"] = attempt
         url = f"http://{address}/v1/requests"
         pause_ms = DEFAULT_PAUSE_MS
         try:
-            async with session.post(url, json=asked) as reply:
+            async with session.post(url, json=submission) as reply:
                 answer = await reply.json()
         except aiohttp.ClientError:
             answer = {"outcome": "unanswered"}
@@ -31,7 +37,7 @@
             return answer
         error = answer.get("error", {})
         pause_ms = error.get("retry_after_ms", pause_ms)
-        await asyncio.sleep(pause_ms / MILLISECONDS)
+        await asyncio.sleep(pause_ms / MS_PER_S)
     return answer
 
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/bench.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/bench.py
@@ -1,7 +1,7 @@
-"""Measures throughput, decision time and the cost of rest in one run.
+"""Benchmark of throughput, decision time and the cost of an idle cell.
 
-The baseline is a bare relay (one process, no scheduling) with the same
-payloads over the same libraries, measured in the same run.
+The baseline is a bare relay: one process that forwards requests without
+scheduling, with the same payloads and libraries, measured in the same run.
 """
 
 import argparse
@@ -36,12 +36,20 @@
 
 
 def unproxied_layout():
-    """Returns the brief's layout without the proxy's delays."""
+    """Returns the default layout without the proxy and its delays."""
     return testcell.Layout(proxied=False)
 
 
 class Benchmark:
-    """One run of the benchmark."""
+    """One run of the benchmark.
+
+    Args:
+        kind: Kind of the requests that are sent.
+        team: Team of the requests that are sent.
+
+    Attributes:
+        results: Figures measured so far, by the name of the measurement.
+    """
 
     def __init__(self, *, kind, team):
         self.kind = kind
@@ -50,11 +58,11 @@
         self.results = {}
 
     def print_progress(self, text):
-        """Prints a line of progress."""
+        """Prints a progress line to standard error."""
         print(text, file=sys.stderr, flush=True)
 
     async def run(self, plan):
-        """Runs all parts and returns the results."""
+        """Runs all measurements on one cell and returns their figures."""
         self.cell = testcell.Cell(plan=plan, layout=unproxied_layout())
         async with self.cell:
             await self.measure_idle()
@@ -69,20 +77,23 @@
         return self.add_target_checks()
 
     async def measure_idle(self):
-        """Measures what an idle entry host costs."""
-        self.print_progress("at rest")
+        """Measures the CPU share, memory and sent bytes of idle entry hosts.
+
+        Each figure is the maximum over all entry hosts.
+        """
+        self.print_progress("idle entry hosts")
         await asyncio.sleep(WARM_UP_S)
         entries = self.cell.running_entries()
-        cpu = [processes.cpu_seconds(e.pid) for e in entries]
-        sent = [processes.sent_bytes(e.pid) for e in entries]
+        cpu_before = [processes.cpu_seconds(e.pid) for e in entries]
+        sent_before = [processes.sent_bytes(e.pid) for e in entries]
         await asyncio.sleep(IDLE_DURATION_S)
         shares = [
             (processes.cpu_seconds(e.pid) - before) / IDLE_DURATION_S
-            for e, before in zip(entries, cpu, strict=True)
+            for e, before in zip(entries, cpu_before, strict=True)
         ]
         rates = [
             (processes.sent_bytes(e.pid) - before) / IDLE_DURATION_S
-            for e, before in zip(entries, sent, strict=True)
+            for e, before in zip(entries, sent_before, strict=True)
         ]
         self.results["rest"] = {
             "cpu_share_max": round(max(shares), 4),
@@ -93,7 +104,11 @@
         }
 
     async def measure_relay(self):
-        """Measures the processor time of the bare relay per request."""
+        """Measures the CPU time of the bare relay for each request.
+
+        Afterwards all workers are restarted, as the relay has raised their
+        fences above any term of a rack owner.
+        """
         self.print_progress("bare relay")
         address = self.cell.port()
         arguments = ["--listen", address]
@@ -114,11 +129,11 @@
         result = await self.generate_load(
             [address], RELAY_RATE_PER_S, RELAY_DURATION_S
         )
-        used = processes.cpu_seconds(relay.pid) - before
+        cpu_used_s = processes.cpu_seconds(relay.pid) - before
         done = count_done(result)
         self.results["relay"] = {
-            "cpu_us_per_request": round(used / done * 1e6, 1),
-            "requests_per_core_second": round(done / used),
+            "cpu_us_per_request": round(cpu_used_s / done * 1e6, 1),
+            "requests_per_core_second": round(done / cpu_used_s),
             "resident_mb": round(processes.resident_mb(relay.pid), 1),
         }
         await relay.stop()
@@ -129,12 +144,21 @@
         await asyncio.sleep(WARM_UP_S)
 
     async def measure_load(self, name, addresses, rate_per_s, duration_s):
-        """Offers load and measures processor time and answer times."""
+        """Measures CPU time and answer times under a load.
+
+        Args:
+            name: Name of the measurement in the results.
+            addresses: Entry hosts that the requests are sent to.
+            rate_per_s: Requests sent in a second.
+            duration_s: Length of the load in seconds.
+        """
         self.print_progress(f"{name} load, {rate_per_s:.0f} requests a second")
         entries = self.cell.running_entries()
         before = sum(processes.cpu_seconds(e.pid) for e in entries)
         result = await self.generate_load(addresses, rate_per_s, duration_s)
-        used = sum(processes.cpu_seconds(e.pid) for e in entries) - before
+        cpu_used_s = (
+            sum(processes.cpu_seconds(e.pid) for e in entries) - before
+        )
         done = count_done(result)
         total = sum(k["requests"] for r in result for k in r["kinds"].values())
         kinds = [k for r in result for k in r["kinds"].values()]
@@ -142,7 +166,7 @@
             "rate_per_s": round(done / duration_s, 1),
             "requests": total,
             "not_done": total - done,
-            "cpu_us_per_request": round(used / done * 1e6, 1),
+            "cpu_us_per_request": round(cpu_used_s / done * 1e6, 1),
             "decision_p99_ms": max(k["decision_ms"]["p99"] for k in kinds),
             "waiting_p99_ms": max(k["waiting_ms"]["p99"] for k in kinds),
             "answer_p50_ms": max(k["answer_ms"]["p50"] for k in kinds),
@@ -153,7 +177,11 @@
         }
 
     async def generate_load(self, addresses, rate_per_s, duration_s):
-        """Offers a rate from several caller processes."""
+        """Sends requests at a rate from several caller processes.
+
+        Returns:
+            The decoded result of each caller process.
+        """
         path = self.cell.folder / "load.toml"
         path.write_text(
             f"duration_s = {duration_s}\n[[mix]]\n"
@@ -171,7 +199,7 @@
         )
 
     async def run_load_process(self, path, addresses, seed):
-        """Runs one caller process and returns its result."""
+        """Runs one caller process and returns its decoded result."""
         arguments = [path, "--seed", seed]
         for address in addresses:
             arguments += ["--address", address]
@@ -183,42 +211,44 @@
         return msgspec.json.decode(output)
 
     def add_target_checks(self):
-        """Adds what was reached to the results."""
-        found = self.results
+        """Adds to the results whether each target was reached."""
+        figures = self.results
         ratio = (
-            found["full"]["cpu_us_per_request"]
-            / found["relay"]["cpu_us_per_request"]
+            figures["full"]["cpu_us_per_request"]
+            / figures["relay"]["cpu_us_per_request"]
         )
-        idle = found["rest"]
-        found["ratio_to_relay"] = round(ratio, 3)
-        found["reached"] = {
-            "nothing_lost_at_full_load": found["full"]["not_done"] == 0,
+        idle_figures = figures["rest"]
+        figures["ratio_to_relay"] = round(ratio, 3)
+        figures["reached"] = {
+            "nothing_lost_at_full_load": figures["full"]["not_done"] == 0,
             "ratio_to_relay": ratio <= MAX_RATIO,
-            "decision_p99": found["half"]["decision_p99_ms"] < MAX_DECISION_MS,
-            "rest_cpu": idle["cpu_share_max"] <= MAX_IDLE_CPU_SHARE,
-            "rest_memory": idle["resident_mb_max"] <= MAX_IDLE_MB,
-            "rest_bytes": idle["sent_bytes_per_s_max"] <= MAX_IDLE_BYTES_PER_S,
+            "decision_p99": figures["half"]["decision_p99_ms"]
+            < MAX_DECISION_MS,
+            "rest_cpu": idle_figures["cpu_share_max"] <= MAX_IDLE_CPU_SHARE,
+            "rest_memory": idle_figures["resident_mb_max"] <= MAX_IDLE_MB,
+            "rest_bytes": idle_figures["sent_bytes_per_s_max"]
+            <= MAX_IDLE_BYTES_PER_S,
         }
-        return found
+        return figures
 
 
-def count_done(results):
-    """Returns how many requests were done in all results."""
+def count_done(load_results):
+    """Returns how many requests ended as done, over all load results."""
     return sum(
         kind["outcomes"].get("done", 0)
-        for result in results
+        for result in load_results
         for kind in result["kinds"].values()
     )
 
 
 def main():
-    """Runs the benchmark and writes its results."""
+    """Runs the benchmark, and prints and writes its results."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--output", default="")
     arguments = parser.parse_args()
     benchmark = Benchmark(kind="string_gauge", team="builders")
-    found = processes.run(benchmark.run(cells.CELLS["tezgah"]()))
-    results.write_json(found, arguments.output)
+    figures = processes.run(benchmark.run(cells.CELLS["tezgah"]()))
+    results.write_json(figures, arguments.output)
 
 
 if __name__ == "__main__":
--- a/packages/cicadafold-standins/src/cicadafold_standins/capacity.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/capacity.py
@@ -1,7 +1,8 @@
-"""Measures the slopes from which docs/CAPACITY.md is worked out.
+"""Measures how costs grow with the cell; docs/CAPACITY.md builds on it.
 
-Members are real processes; racks, workers, tasks and teams at the letter's
-size are state alone, held by the same code that serves them.
+Members are real processes. Racks, workers, tasks and teams, in the numbers of
+the largest cell, exist only as state in memory, held by the same classes that
+serve them in the daemon.
 """
 
 import argparse
@@ -29,14 +30,14 @@
 
 
 class LinearFit(msgspec.Struct, kw_only=True):
-    """A measured line.
+    """Line fitted to measured points.
 
     Attributes:
-        name: What was measured, with its unit.
-        against: What it was measured against.
-        points: Pairs of count and value.
-        slope: Value for each more of the count.
-        base: Value at a count of zero.
+        name: Measured quantity, with its unit.
+        against: What was counted, such as members or workers.
+        points: Pairs of count and measured value.
+        slope: Increase of the value when the count grows by one.
+        base: Value of the line at a count of zero.
     """
 
     name: str
@@ -47,7 +48,12 @@
 
 
 def fit_line(name, against, points):
-    """Fits a line by least squares.
+    """Returns the least-squares line through measured points.
+
+    Args:
+        name: Measured quantity, with its unit.
+        against: What was counted.
+        points: Pairs of count and measured value.
 
     Examples:
         >>> fit_line("a", "b", [(1, 3.0), (2, 5.0)]).slope
@@ -66,7 +72,15 @@
 
 
 async def measure_idle_members(count):
-    """Returns processor share, memory and bytes of an idle member."""
+    """Measures a cell of idle members that own no rack.
+
+    Args:
+        count: Number of members.
+
+    Returns:
+        Means over the members: share of a core, resident memory in MB and
+        bytes sent in a second.
+    """
     layout = testcell.Layout(
         entries={"d1": count},
         racks={"rack-1": ("d1", 2)},
@@ -91,21 +105,21 @@
             (processes.sent_bytes(e.pid) - before) / elapsed_s
             for e, before in zip(others, sent, strict=True)
         ]
-        memory = [processes.resident_mb(e.pid) for e in others]
+        memory_mb = [processes.resident_mb(e.pid) for e in others]
     return (
         statistics.mean(shares),
-        statistics.mean(memory),
+        statistics.mean(memory_mb),
         statistics.mean(rates),
     )
 
 
 async def member_slopes():
-    """Measures idle members from 3 to 24."""
-    shares, memory, rates = [], [], []
+    """Returns the lines of idle members, at 3 to 24 members."""
+    shares, memory_mb, rates = [], [], []
     for count in MEMBER_COUNTS:
         share, megabytes, rate = await measure_idle_members(count)
         shares.append((count, share * 100))
-        memory.append((count, megabytes))
+        memory_mb.append((count, megabytes))
         rates.append((count, rate))
         print_progress(
             f"{count} members: {share:.2%}, {megabytes:.1f} MB, {rate:.0f} B/s"
@@ -114,18 +128,22 @@
         fit_line(
             "processor of an idle member, % of a core", "members", shares
         ),
-        fit_line("memory of an idle member, MB", "members", memory),
+        fit_line("memory of an idle member, MB", "members", memory_mb),
         fit_line("sent by an idle member, bytes/s", "members", rates),
     ]
 
 
 async def worker_slopes():
-    """Measures routing and owners from 24 to 3,400 workers."""
-    route_times_us, placement_times_us, memory = [], [], []
+    """Returns the lines of routing and rack owners, at 24 to 3,400 workers."""
+    route_times_us, placement_times_us, memory_mb = [], [], []
     claimer_passes_ms, lists, sizes = [], [], []
     for count in WORKER_COUNTS:
         _, route_us = state_costs.measure_routing(count)
-        per_worker, _, decide_us = await state_costs.measure_rack_owner(
+        (
+            bytes_per_worker,
+            _,
+            placement_us,
+        ) = await state_costs.measure_rack_owner(
             count, state_costs.DECISION_COUNT
         )
         claimer_passes_ms.append(
@@ -135,18 +153,18 @@
         lists.append((count, list_ms))
         sizes.append((count, kilobytes))
         route_times_us.append((count, route_us))
-        placement_times_us.append((count, decide_us))
-        memory.append((count, per_worker * count / 1e6))
+        placement_times_us.append((count, placement_us))
+        memory_mb.append((count, bytes_per_worker * count / 1e6))
         print_progress(
             f"{count} workers: route p99 {route_us:.0f} us, placement p99 "
-            f"{decide_us:.0f} us, {per_worker:.0f} bytes a worker"
+            f"{placement_us:.0f} us, {bytes_per_worker:.0f} bytes a worker"
         )
     return [
         fit_line(
             "choosing and redirecting, p99 us", "workers", route_times_us
         ),
         fit_line("placing in a rack, p99 us", "workers", placement_times_us),
-        fit_line("owner's state of idle workers, MB", "workers", memory),
+        fit_line("owner's state of idle workers, MB", "workers", memory_mb),
         fit_line(
             "one pass of the rack claimer over all racks, ms",
             "workers",
@@ -158,7 +176,7 @@
 
 
 def task_slopes():
-    """Measures requests up to 91,000."""
+    """Returns the lines of open requests, at 1,000 to 91,000 requests."""
     rack_requests_mb, control_state_mb, apply_times_us, snapshot_sizes_mb = (
         [],
         [],
@@ -176,9 +194,9 @@
         apply_times_us.append((count, apply_us))
         snapshot_sizes_mb.append((count, snapshot_mb))
         print_progress(
-            f"{count} requests: held {rack_requests_mb[-1][1]:.1f} MB, ledger "
-            f"{megabytes:.1f} MB, fold {apply_us:.1f} us, snapshot "
-            f"{snapshot_mb:.1f} MB"
+            f"{count} requests: rack owners {rack_requests_mb[-1][1]:.1f} MB, "
+            f"control state {megabytes:.1f} MB, applying a record "
+            f"{apply_us:.1f} us, snapshot {snapshot_mb:.1f} MB"
         )
     return [
         fit_line("running requests at owners, MB", "tasks", rack_requests_mb),
@@ -193,13 +211,13 @@
 
 
 def team_slopes():
-    """Measures teams from 10 to 540."""
+    """Returns the lines of fair queueing, at 10 to 540 teams."""
     serve_times_us, sizes = [], []
     for count in TEAM_COUNTS:
         serve_times_us.append((count, state_costs.measure_fair_queue(count)))
         sizes.append((count, state_costs.measure_configuration(count)))
         print_progress(
-            f"{count} teams: serve p99 {serve_times_us[-1][1]:.0f} us"
+            f"{count} teams: dequeue p99 {serve_times_us[-1][1]:.0f} us"
         )
     return [
         fit_line("serving the fairest team, p99 us", "teams", serve_times_us),
@@ -208,7 +226,7 @@
 
 
 def renewal_slopes():
-    """Returns the bytes of renewing one more lease on a worker."""
+    """Returns the line of a renewal's size against the leases it renews."""
     sizes = []
     for count in (1, 27):
         request = platform.RenewRequest(
@@ -221,20 +239,20 @@
 
 
 def print_progress(text):
-    """Prints a line of progress."""
+    """Prints a progress line to standard error."""
     print(text, file=sys.stderr, flush=True)
 
 
 async def measure():
-    """Measures all slopes."""
-    found = team_slopes() + renewal_slopes() + task_slopes()
-    found += await worker_slopes()
-    found += await member_slopes()
-    return found
+    """Runs all measurements and returns their fitted lines."""
+    slopes = team_slopes() + renewal_slopes() + task_slopes()
+    slopes += await worker_slopes()
+    slopes += await member_slopes()
+    return slopes
 
 
 def format_table(slopes):
-    """Returns the slopes as a table in Markdown."""
+    """Returns the fitted lines as a Markdown table."""
     lines = [
         "| what | against | points | slope | base |",
         "|---|---|---|---|---|",
@@ -249,7 +267,7 @@
 
 
 def main():
-    """Measures the slopes and writes their table."""
+    """Runs all measurements, and prints and writes their table."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--output", default="")
     arguments = parser.parse_args()
--- a/packages/cicadafold-standins/src/cicadafold_standins/demo.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/demo.py
@@ -1,4 +1,4 @@
-"""Runs a user's cell for a while, with faults, and reports what held."""
+"""Demonstration: a cell under load and faults, with checked promises."""
 
 import argparse
 import asyncio
@@ -28,7 +28,17 @@
 
 
 class Demo:
-    """One run of the demonstration."""
+    """One run of the demonstration.
+
+    Args:
+        plan: Plan of the cell with its configuration and loads.
+        load_s: Length of the load in seconds.
+
+    Attributes:
+        problems: Promises that were broken, as seen by the demonstration.
+        change_duration_s: Seconds until the configuration change was in
+            force at all entry hosts, or None before that.
+    """
 
     def __init__(self, *, plan, load_s):
         self.plan = plan
@@ -38,12 +48,12 @@
         self.change_duration_s = None
 
     def print_progress(self, text):
-        """Prints a line of progress."""
+        """Prints a progress line with the time since the start."""
         elapsed_s = time.monotonic() - self.started_s
         print(f"[{elapsed_s:5.1f} s] {text}", flush=True)
 
     async def run(self):
-        """Runs the cell and returns the summary."""
+        """Runs the cell under load and faults and returns the summary."""
         cell = testcell.Cell(plan=self.plan)
         self.print_progress(
             f"Starting the cell {self.plan.name}; logs: {cell.folder}"
@@ -62,9 +72,13 @@
                 )
                 for index, (region, address) in enumerate(cell.callers.items())
             ]
-            self.print_progress(f"Callers offer load for {self.load_s:.0f} s.")
-            faults = asyncio.create_task(self.inject_faults(cell))
-            progress = asyncio.create_task(self.print_request_counts(groups))
+            self.print_progress(
+                f"Callers send requests for {self.load_s:.0f} s."
+            )
+            fault_task = asyncio.create_task(self.inject_faults(cell))
+            progress_task = asyncio.create_task(
+                self.print_request_counts(groups)
+            )
             shares = (2 / 3, 1 / 3)
             await asyncio.gather(
                 *(
@@ -76,22 +90,28 @@
                 "The load has ended. Waiting for the last answers."
             )
             await asyncio.gather(*(group.finish() for group in groups))
-            await faults
-            progress.cancel()
+            await fault_task
+            progress_task.cancel()
             for group in groups:
                 await group.close()
             return await self.summarize(cell, groups)
 
     async def print_request_counts(self, groups):
-        """Prints how far the load has come, every few seconds."""
+        """Prints the counts of sent and answered requests every 2.5 s."""
         while True:
             await asyncio.sleep(2.5)
             records = [r for group in groups for r in group.records]
             ended = sum(r.outcome is not None for r in records)
-            self.print_progress(f"{len(records)} requests, {ended} answered.")
+            self.print_progress(
+                f"{len(records)} requests sent, {ended} answered."
+            )
 
     async def inject_faults(self, cell):
-        """Kills, drains, changes and removes in the middle of the load."""
+        """Injects faults and operator actions while the load runs.
+
+        Kills one rack's owner, drains another, changes the configuration
+        and removes a worker.
+        """
         await asyncio.sleep(KILL_AT_S)
         victim = await cell.owner_of("rack-1")
         self.print_progress(f"Killing {victim.name}, which owns rack-1.")
@@ -107,7 +127,7 @@
         await self.remove_worker(cell)
 
     async def change_configuration(self, cell):
-        """Applies a change and waits until it is in force everywhere."""
+        """Changes the configuration and waits until all entry hosts use it."""
         configuration = self.plan.configuration()
         configuration.headroom_slots = 2
         started_s = time.monotonic()
@@ -121,8 +141,10 @@
                 body = await cell.get(entry.address, "/v1/configuration")
                 if body is None:
                     continue
-                shown = msgspec.json.decode(body, type=messages.Configuration)
-                if shown.revision != 2:
+                current = msgspec.json.decode(
+                    body, type=messages.Configuration
+                )
+                if current.revision != 2:
                     return False
             return True
 
@@ -140,34 +162,38 @@
             )
 
     async def remove_worker(self, cell):
-        """Shows a worker as leaving; later starts count as broken."""
+        """Marks a worker as leaving in the platform's host list.
+
+        A task that is started on the worker later than ``LEAVE_BOUND_S``
+        after the list shows it as leaving counts as a broken promise.
+        """
         name = "rack-3-w1"
         lag_s = 0.5
-        self.print_progress(f"{name} is leaving.")
+        self.print_progress(f"Marking worker {name} as leaving.")
         await cell.mark_leaving(name, lag_s=lag_s)
         await asyncio.sleep(lag_s + LEAVE_BOUND_S)
         worker = cell.workers[name]
         await cell.post(worker.address, "/faults", {"leaving": True})
 
     async def summarize(self, cell, groups):
-        """Prints the tables and returns the summary."""
+        """Prints the tables of the run and returns its summary."""
         records = [r for group in groups for r in group.records]
-        found = verdict.judge(records, cell.worker_records(), self.plan.kinds)
-        found.problems.extend(self.problems)
+        result = verdict.judge(records, cell.worker_records(), self.plan.kinds)
+        result.problems.extend(self.problems)
         link_bytes, log_counters = await cell.counters()
-        burn = await self.read_burn(cell)
-        print_table(found)
+        burn_report = await self.read_burn(cell)
+        print_table(result)
         slots = sum(host.slots for host in cell.hosts)
-        packing = found.slot_seconds / (slots * self.load_s)
+        packing = result.slot_seconds / (slots * self.load_s)
         region_bytes = link_bytes["r1>r2"] + link_bytes["r2>r1"]
         print(
-            f"overfills {found.overfills}, starts given twice "
-            f"{found.given_twice}, starts on a leaving worker "
-            f"{found.starts_while_leaving}"
+            f"overfills {result.overfills}, starts given twice "
+            f"{result.given_twice}, starts on a leaving worker "
+            f"{result.starts_while_leaving}"
         )
         print(
             f"slots in use {packing:.1%} of the load's time; "
-            f"at most {found.peak_connections} connections to a worker"
+            f"at most {result.peak_connections} connections to a worker"
         )
         print(
             f"between regions {region_bytes / 1e6:.2f} MB "
@@ -175,40 +201,40 @@
             f"log appends {log_counters['appends']}, "
             f"at most {log_counters['peak_appends_per_s']} in a second"
         )
-        print_burn(burn)
-        for problem in found.problems[:20]:
+        print_burn(burn_report)
+        for problem in result.problems[:20]:
             print(f"BROKEN {problem.promise.value}: {problem.text}")
         return {
             "cell": self.plan.name,
             "requests": len(records),
-            "kinds": msgspec.to_builtins(found.kinds),
-            "lost": sum(row.lost for row in found.kinds),
-            "doubled": sum(row.doubled for row in found.kinds),
-            "overfills": found.overfills,
+            "kinds": msgspec.to_builtins(result.kinds),
+            "lost": sum(row.lost for row in result.kinds),
+            "doubled": sum(row.doubled for row in result.kinds),
+            "overfills": result.overfills,
             "packing": round(packing, 4),
             "region_bytes": region_bytes,
             "log_appends": log_counters["appends"],
             "log_append_bytes": log_counters["append_bytes"],
             "change_in_force_s": round(self.change_duration_s or 0.0, 3),
-            "broken": len(found.problems),
+            "broken": len(result.problems),
         }
 
     async def read_burn(self, cell):
-        """Returns the burn report of the cell."""
+        """Returns the burn report of the cell, from any entry host."""
         entry = cell.running_entries()[0]
         body = await cell.get(entry.address, "/v1/reports/burn")
         return msgspec.json.decode(body, type=messages.BurnReport)
 
 
-def print_table(found):
-    """Prints the table of kinds."""
+def print_table(result):
+    """Prints the table of outcomes and times by kind."""
     print(
         f"{'kind':<16}{'accepted':>9}{'done':>7}{'not run':>8}"
         f"{'unknown':>8}{'failed':>7}{'lost':>5}{'doubled':>8}"
         f"{'answer p50/p99 ms':>20}{'waiting p50/p99 ms':>20}"
         f"{'decision p50/p99 ms':>21}"
     )
-    for row in found.kinds:
+    for row in result.kinds:
         answer = f"{row.answer_p50_ms:.1f}/{row.answer_p99_ms:.1f}"
         waiting = f"{row.waiting_p50_ms:.1f}/{row.waiting_p99_ms:.1f}"
         decision = f"{row.decision_p50_ms:.2f}/{row.decision_p99_ms:.2f}"
@@ -221,18 +247,18 @@
 
 
 def print_burn(report):
-    """Prints the burn report of the shortest window."""
+    """Prints the burn rate of each kind over the shortest window."""
     for kind in report.kinds:
-        shown = kind.windows[0]
+        window = kind.windows[0]
         print(
-            f"burn {kind.kind}: {shown.burn:.2f} over {shown.window_s} s "
-            f"({shown.good} good, {shown.bad} bad; objective "
+            f"burn {kind.kind}: {window.burn:.2f} over {window.window_s} s "
+            f"({window.good} good, {window.bad} bad; objective "
             f"{kind.objective_share:.1%} within {kind.objective_ms} ms)"
         )
 
 
 def main():
-    """Runs the demonstration; the exit status tells whether all held."""
+    """Runs the demonstration; exits with 1 if a promise was broken."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--cell", default="tezgah", choices=cells.CELLS)
     parser.add_argument("--load-s", type=float, default=LOAD_S)
--- a/packages/cicadafold-standins/src/cicadafold_standins/experiment.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/experiment.py
@@ -1,8 +1,9 @@
-"""Compares policies on the same trace and seed, in one run.
+"""Compares two scheduling policies under the same load, in one run.
 
-The naive policy is first come, first served: the same kinds in one lane,
-without headroom, under one team. It is made by configuration alone, so
-that both runs use the same processes.
+The baseline policy is first come, first served: the same kinds in one lane,
+without headroom, under one team. It differs from the other policy by its
+configuration only, so that both runs use the same processes. Arrival times
+and run times come from the same seeds.
 """
 
 import argparse
@@ -31,17 +32,27 @@
 OVERLOAD_RUN_MS = (40.0, 60.0)
 OVERLOAD_DEADLINE_MS = 1000
 SEED = 11
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
 def mean_run_s(run_ms):
-    """Returns the mean run time in seconds."""
-    return sum(run_ms) / 2 / MILLISECONDS
+    """Returns the mean of a range of run times, in seconds.
 
+    Args:
+        run_ms: Shortest and longest run time in milliseconds.
+    """
+    return sum(run_ms) / 2 / MS_PER_S
 
-def make_kind(name, lane, **changes):
-    """Returns a kind of small, unrecorded, idempotent work."""
-    fields = {
+
+def make_kind(name, lane, **overrides):
+    """Returns a kind of small, idempotent tasks that are not recorded.
+
+    Args:
+        name: Name of the kind.
+        lane: Lane of the kind.
+        **overrides: Fields of the kind that replace the defaults.
+    """
+    defaults = {
         "cores": 1,
         "memory_mb": 512,
         "deadline_ms": 30_000,
@@ -53,12 +64,12 @@
         shape=messages.Shape.task,
         idempotent=True,
         durable=False,
-        **{**fields, **changes},
+        **{**defaults, **overrides},
     )
 
 
 def priority_lanes_configuration():
-    """Returns the configuration with an urgent lane and headroom."""
+    """Returns a configuration with an urgent lane and one headroom slot."""
     return messages.Configuration(
         revision=0,
         kinds=[
@@ -76,7 +87,7 @@
 
 
 def fifo_configuration():
-    """Returns the configuration of first come, first served."""
+    """Returns a configuration that serves first come, first served."""
     configuration = priority_lanes_configuration()
     for kind in configuration.kinds:
         kind.lane = messages.Lane.patient
@@ -85,7 +96,18 @@
 
 
 class PolicyComparison:
-    """Runs both policies, and an overload, on one cell."""
+    """Measures both policies, and an overload, on one cell.
+
+    Args:
+        cell: Running cell.
+
+    Attributes:
+        slots: Slots of all workers.
+        revision: Revision of the configuration in force.
+        trace: Number of the current load. It is part of the request ids, so
+            that loads with the same seed do not share ids.
+        load_started_s: Start of the current load, on the monotonic clock.
+    """
 
     def __init__(self, *, cell):
         self.cell = cell
@@ -95,29 +117,38 @@
         self.load_started_s = 0.0
 
     async def run(self):
-        """Returns the figures of all runs."""
-        found = {}
+        """Runs all loads and returns their figures."""
+        figures = {}
         for name, configuration in (
             ("first_come", fifo_configuration()),
             ("lanes", priority_lanes_configuration()),
         ):
             await self.apply_configuration(configuration, name)
-            found[name] = await self.measure_mix()
-            print_progress(f"{name}: {found[name]}")
-        found["peak"] = await self.measure_burst(1.0)
-        found["overload"] = await self.measure_burst(OVERLOAD_FACTOR)
-        found["urgent_p99_ratio"] = round(
-            found["first_come"]["urgent_answer_p99_ms"]
-            / found["lanes"]["urgent_answer_p99_ms"],
+            figures[name] = await self.measure_mix()
+            print_progress(f"{name}: {figures[name]}")
+        figures["peak"] = await self.measure_burst(1.0)
+        figures["overload"] = await self.measure_burst(OVERLOAD_FACTOR)
+        figures["urgent_p99_ratio"] = round(
+            figures["first_come"]["urgent_answer_p99_ms"]
+            / figures["lanes"]["urgent_answer_p99_ms"],
             2,
         )
-        found["goodput_ratio"] = round(
-            found["overload"]["done_per_s"] / found["peak"]["done_per_s"], 3
+        figures["goodput_ratio"] = round(
+            figures["overload"]["done_per_s"] / figures["peak"]["done_per_s"],
+            3,
         )
-        return found
+        return figures
 
     async def apply_configuration(self, configuration, name):
-        """Applies a configuration on the current revision."""
+        """Applies a configuration on top of the current revision.
+
+        Args:
+            configuration: Configuration to apply.
+            name: Name of the policy, part of the change id.
+
+        Raises:
+            RuntimeError: The cell rejected the change.
+        """
         status, body = await self.cell.apply(
             configuration, change_id=f"run-{name}", base=self.revision
         )
@@ -127,25 +158,27 @@
         await asyncio.sleep(1.0)
 
     async def measure_mix(self):
-        """Offers urgent and batch work up to 90% of the slots.
+        """Measures urgent and batch requests that use 90% of the slots.
 
-        Both policies get the same arrival and run times.
+        Arrival times and run times are the same for both policies.
         """
-        busy = self.slots * FULL_LOAD
-        urgent = busy * URGENT_SHARE / mean_run_s(URGENT_RUN_MS)
-        batch = busy * (1 - URGENT_SHARE) / mean_run_s(PATIENT_RUN_MS)
+        busy_slots = self.slots * FULL_LOAD
+        urgent_per_s = busy_slots * URGENT_SHARE / mean_run_s(URGENT_RUN_MS)
+        batch_per_s = (
+            busy_slots * (1 - URGENT_SHARE) / mean_run_s(PATIENT_RUN_MS)
+        )
         records = await self.generate_load(
             [
-                make_mix_entry("urgent", urgent, URGENT_RUN_MS),
-                make_mix_entry("batch", batch, PATIENT_RUN_MS),
+                make_mix_entry("urgent", urgent_per_s, URGENT_RUN_MS),
+                make_mix_entry("batch", batch_per_s, PATIENT_RUN_MS),
             ],
             DURATION_S,
         )
         result = load.summarize(records, DURATION_S)
-        slot_s = sum(
+        busy_slot_s = sum(
             max(0.0, run.ended_s - run.started_s)
-            for found in self.cell.worker_records().values()
-            for run in found
+            for runs in self.cell.worker_records().values()
+            for run in runs
             if run.started_s >= self.load_started_s
         )
         return {
@@ -155,19 +188,25 @@
             "urgent_answer_p99_ms": result.kinds["urgent"].answer_ms["p99"],
             "batch_outcomes": result.kinds["batch"].outcomes,
             "batch_answer_p99_ms": result.kinds["batch"].answer_ms["p99"],
-            "slots_in_use": round(slot_s / (self.slots * DURATION_S), 3),
+            "slots_in_use": round(busy_slot_s / (self.slots * DURATION_S), 3),
         }
 
     async def measure_burst(self, factor):
-        """Offers urgent work of a multiple of the capacity."""
-        rate = self.slots / mean_run_s(OVERLOAD_RUN_MS) * factor * FULL_LOAD
+        """Measures urgent requests at a multiple of the full load.
+
+        Args:
+            factor: Multiple of the rate that uses 90% of the slots.
+        """
+        rate_per_s = (
+            self.slots / mean_run_s(OVERLOAD_RUN_MS) * factor * FULL_LOAD
+        )
         records = await self.generate_load(
-            [make_mix_entry("burst", rate, OVERLOAD_RUN_MS)], OVERLOAD_S
+            [make_mix_entry("burst", rate_per_s, OVERLOAD_RUN_MS)], OVERLOAD_S
         )
         done = [r for r in records if r.outcome is verdict.Outcome.done]
         attempts = sum(r.attempts for r in records)
         return {
-            "offered_per_s": round(rate),
+            "offered_per_s": round(rate_per_s),
             "done_per_s": round(len(done) / OVERLOAD_S, 1),
             "attempts_per_request": round(attempts / len(records), 2),
             "outcomes": load.summarize(records, OVERLOAD_S)
@@ -175,12 +214,22 @@
             .outcomes,
         }
 
-    async def generate_load(self, mixes, duration_s):
-        """Offers a mix from both regions, by the size of their racks."""
+    async def generate_load(self, entries, duration_s):
+        """Sends a mix of requests from the callers of both regions.
+
+        The rate is divided in proportion to the racks of the regions.
+
+        Args:
+            entries: Kinds of the mix with their rates.
+            duration_s: Length of the load in seconds.
+
+        Returns:
+            The call records of all callers.
+        """
         self.trace += 1
         self.load_started_s = time.monotonic()
         shares = {"r1": 2 / 3, "r2": 1 / 3}
-        found = await asyncio.gather(
+        record_groups = await asyncio.gather(
             *(
                 load.generate_load(
                     load.LoadFile(
@@ -192,7 +241,7 @@
                             make_mix_entry(
                                 m.kind, m.rate_per_s * shares[region], m.run_ms
                             )
-                            for m in mixes
+                            for m in entries
                         ],
                     ),
                     [
@@ -205,23 +254,23 @@
                 for index, region in enumerate(sorted(self.cell.callers))
             )
         )
-        return [record for group in found for record in group]
+        return [record for group in record_groups for record in group]
 
 
 def make_mix_entry(kind, rate_per_s, run_ms):
-    """Returns one kind of a mix."""
+    """Returns an entry of the mix for the only team."""
     return load.MixEntry(
         kind=kind, team="t", rate_per_s=rate_per_s, run_ms=run_ms
     )
 
 
 def print_progress(text):
-    """Prints a line of progress."""
+    """Prints a progress line to standard error."""
     print(text, file=sys.stderr, flush=True)
 
 
 async def run_comparison():
-    """Runs the comparison on the small cell."""
+    """Runs the comparison on the small cell, without its proxy."""
     plan = cells.CELLS["tezgah"]()
     layout = prove.small_layout()
     layout.proxied = False
@@ -231,12 +280,12 @@
 
 
 def main():
-    """Runs the comparison and writes its figures."""
+    """Runs the comparison, and prints and writes its figures."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--output", default="")
     arguments = parser.parse_args()
-    found = processes.run(run_comparison())
-    results.write_json(found, arguments.output)
+    figures = processes.run(run_comparison())
+    results.write_json(figures, arguments.output)
 
 
 if __name__ == "__main__":
--- a/packages/cicadafold-standins/src/cicadafold_standins/load.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/load.py
@@ -1,9 +1,9 @@
-"""Open-loop load from a TOML file, with results as JSON.
+"""Open-loop load generator: reads a TOML file, prints results as JSON.
 
-Answer times count from when a request was due, so that a slow answer does
-not hide the requests that should have been sent meanwhile.
+Answer times are measured from the time at which a request was due, so that a
+slow answer does not hide the requests that should have been sent meanwhile.
 
-The file names the mix::
+The file lists the kinds of the mix::
 
     seed = 1
     duration_s = 30.0
@@ -39,7 +39,14 @@
 
 
 class MixEntry(msgspec.Struct, kw_only=True):
-    """One kind of the mix."""
+    """One kind of requests in a mix.
+
+    Attributes:
+        kind: Name of the kind.
+        team: Team on whose behalf the requests are sent.
+        rate_per_s: Requests sent in a second, over all addresses.
+        run_ms: Shortest and longest run time in milliseconds.
+    """
 
     kind: str
     team: str
@@ -48,7 +55,16 @@
 
 
 class LoadFile(msgspec.Struct, kw_only=True):
-    """A load file."""
+    """Content of a load file.
+
+    Attributes:
+        mix: Kinds of requests with their rates.
+        seed: Seed of the arrival times and run times.
+        duration_s: Length of the load in seconds.
+        patience_s: How long a caller repeats a request, in seconds.
+        label: Start of the request ids, so that two loads with one seed do
+            not share ids.
+    """
 
     mix: list[MixEntry]
     seed: int = 1
@@ -58,7 +74,17 @@
 
 
 class KindResult(msgspec.Struct, kw_only=True):
-    """What callers of one kind saw; times in milliseconds."""
+    """What the callers of one kind measured.
+
+    Attributes:
+        requests: Requests sent.
+        outcomes: Number of requests by outcome; "none" without an answer.
+        attempts: Attempts over all requests.
+        answer_ms: Percentiles of the time from when a request was due to
+            its answer, in milliseconds.
+        waiting_ms: Percentiles of the time in the queue, in milliseconds.
+        decision_ms: Percentiles of the decision time, in milliseconds.
+    """
 
     requests: int
     outcomes: dict[str, int]
@@ -69,43 +95,50 @@
 
 
 class LoadResult(msgspec.Struct, kw_only=True):
-    """What all callers saw."""
+    """What all callers measured.
+
+    Attributes:
+        duration_s: Length of the load in seconds.
+        kinds: Results by kind.
+    """
 
     duration_s: float
     kinds: dict[str, KindResult]
 
 
 def percentiles(values_ms):
-    """Returns percentiles by name, from an HDR histogram."""
-    found = histogram.HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
+    """Returns the percentiles p50 to p99.9 of times in milliseconds."""
+    times_us = histogram.HdrHistogram(
+        LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS
+    )
     for value in values_ms:
-        found.record_value(max(LOWEST_US, int(value * MILLISECONDS)))
+        times_us.record_value(max(LOWEST_US, int(value * MILLISECONDS)))
     return {
-        f"p{share:g}": found.get_value_at_percentile(share) / MILLISECONDS
+        f"p{share:g}": times_us.get_value_at_percentile(share) / MILLISECONDS
         for share in (50, 90, 99, 99.9)
     }
 
 
 def summarize(records, duration_s):
-    """Summarizes the callers' records.
+    """Returns the callers' results by kind.
 
     Args:
         records: Call records.
-        duration_s: How long the load was offered, in seconds.
+        duration_s: Length of the load in seconds.
     """
     by_kind = collections.defaultdict(list)
     for record in records:
         by_kind[record.kind].append(record)
     kinds = {}
-    for kind, found in by_kind.items():
-        done = [r for r in found if r.outcome is verdict.Outcome.done]
+    for kind, kind_records in by_kind.items():
+        done = [r for r in kind_records if r.outcome is verdict.Outcome.done]
         outcomes = collections.Counter(
-            r.outcome.value if r.outcome else "none" for r in found
+            r.outcome.value if r.outcome else "none" for r in kind_records
         )
         kinds[kind] = KindResult(
-            requests=len(found),
+            requests=len(kind_records),
             outcomes=dict(outcomes),
-            attempts=sum(r.attempts for r in found),
+            attempts=sum(r.attempts for r in kind_records),
             answer_ms=percentiles(
                 (r.answered_s - r.due_s) * MILLISECONDS for r in done
             ),
@@ -118,7 +151,7 @@
 
 
 def make_plan(load_file):
-    """Returns a plan that holds the mix of a load file."""
+    """Returns a plan with the kinds, rates and teams of a load file."""
     plan = cells.CELLS["tezgah"]()
     plan.loads = {
         mix.kind: cells.KindLoad(rate_per_s=mix.rate_per_s, run_ms=mix.run_ms)
@@ -132,10 +165,12 @@
 
 
 async def generate_load(load_file, addresses, region):
-    """Offers a load to addresses in turn and returns the records.
+    """Sends a load to addresses and returns the call records.
+
+    Each address gets the same share of the rate.
 
     Args:
-        load_file: The load to offer.
+        load_file: Load to send.
         addresses: Entry hosts, or one balancer.
         region: Region of the callers.
     """
@@ -164,7 +199,10 @@
 
 
 def main():
-    """Offers a load and prints the result as JSON."""
+    """Sends a load and prints the result as JSON.
+
+    The exit status is 1 if a request got no answer.
+    """
     parser = argparse.ArgumentParser()
     parser.add_argument("file", help="TOML file with the mix")
     parser.add_argument("--address", action="append", required=True)
@@ -180,8 +218,8 @@
     )
     result = summarize(records, load_file.duration_s)
     print(msgspec.json.encode(result).decode())
-    lost = sum(r.outcome is None for r in records)
-    sys.exit(1 if lost else 0)
+    unanswered = sum(r.outcome is None for r in records)
+    sys.exit(1 if unanswered else 0)
 
 
 if __name__ == "__main__":
--- a/packages/cicadafold-standins/src/cicadafold_standins/naive.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/naive.py
@@ -1,10 +1,15 @@
-"""A naive scheduler that the same checks must report as broken.
-
-Every process places on its own, without an owner of the rack, without a
-ledger, without fences, and with a configuration of its own. A lost answer
-is repeated on another worker, a time-out is called "not run", and answers
-of a worker are given out in the order of the requests. It is never
-shipped and serves to show that each check of a proof can fail.
+"""A deliberately incorrect scheduler, to test the checks of ``prove``.
+
+The checks must report it as broken, which shows that each of them can fail.
+It is not part of a release. Its faults:
+
+- Every process places tasks on its own: there are no rack owners, no control
+  log and no working fences.
+- Every process has its own configuration.
+- A task whose answer is lost is started again on another worker.
+- A time-out is reported as "not run", although the task may have run.
+- Answers of a worker are assigned to requests in the order in which the
+  requests were sent.
 """
 
 import argparse
@@ -27,17 +32,27 @@
 __all__ = ["NaiveScheduler"]
 
 ANSWER_TIMEOUT_S = 0.5
-# Share of the tasks that go to the first few workers, and how many these are.
+# Share of the tasks that are sent to the first HOTSPOT_HOSTS workers only.
 HOTSPOT_SHARE = 0.7
 HOTSPOT_HOSTS = 3
 MAX_TRIES = 3
 LEASE_MS = 60_000
-SHARED_FENCE = 1 << 40
-MILLISECONDS = 1000
+# All processes use the same, highest fence, so that no worker rejects any.
+HIGHEST_FENCE = 1 << 40
+RETRY_AFTER_MS = 1000
 
 
 class NaiveScheduler:
-    """HTTP handlers of the naive scheduler."""
+    """HTTP handlers of one process of the naive scheduler.
+
+    Args:
+        settings: Content of the settings file.
+
+    Attributes:
+        routes: Address to connect to, by the announced address.
+        hosts: Workers, as listed once at the start.
+        pending_results: Futures of started tasks by worker, oldest first.
+    """
 
     def __init__(self, *, settings):
         self.settings = settings
@@ -52,11 +67,11 @@
         self.rng = random.Random(self.name)
 
     def resolve(self, address):
-        """Returns the address to use for an announced one."""
+        """Returns the address to connect to for an announced address."""
         return self.routes.get(address, address)
 
     async def load_hosts(self, app):
-        """Reads the list of workers once, and keeps it."""
+        """Reads the list of workers once, repeating until it is not empty."""
         self.session = aiohttp.ClientSession()
         source = http_adapters.HttpHostSource(
             session=self.session,
@@ -69,13 +84,13 @@
                 await asyncio.sleep(0.1)
 
     def client(self, host):
-        """Returns the client of a worker."""
+        """Returns a client for calls to a worker."""
         return http_adapters.HttpTargetClient(
             session=self.session, address=self.resolve(host.address)
         )
 
     async def submit(self, request):
-        """Starts a request on random workers."""
+        """Runs the tasks of a request on random workers and answers."""
         submission = await serving.read_json(request, messages.SubmitRequest)
         kinds = {kind.name: kind for kind in self.configuration.kinds}
         kind = kinds[submission.kind]
@@ -97,13 +112,17 @@
         return serving.json_response(answer)
 
     def task_id(self, submission, kind, index):
-        """Returns the id of a task."""
+        """Returns the id of a task of a request, by its index."""
         if kind.tasks == 1:
             return submission.request_id
         return f"{submission.request_id}~{index}"
 
     async def run_task(self, submission, kind, task_id):
-        """Tries a task on up to three workers."""
+        """Tries to run a task on up to ``MAX_TRIES`` random workers.
+
+        Returns:
+            Result of the task, or None if no worker answered in time.
+        """
         for _ in range(MAX_TRIES):
             host = self.choose_host()
             try:
@@ -114,10 +133,11 @@
         return None
 
     def choose_host(self):
-        """Returns a random worker, most times one of the first few.
+        """Returns a random worker, in most cases one of the first few.
 
-        Packing without counting fills workers over in every round; purely
-        random choice did so a few times in most rounds, and not in all.
+        Sending most tasks to a few workers without counting their capacity
+        overfills workers in every round of ``prove``. A uniformly random
+        choice did so a few times in most rounds, but not in all.
         """
         use_hotspot = self.rng.random() < HOTSPOT_SHARE
         return self.rng.choice(
@@ -125,16 +145,20 @@
         )
 
     async def start(self, host, submission, kind, task_id):
-        """Starts a task on one worker and returns its result."""
+        """Starts a task on one worker and returns a result.
+
+        The result of a reply goes to the oldest waiting task of the worker,
+        which need not be the task that the reply belongs to.
+        """
         client = self.client(host)
-        inventory = await client.fence(SHARED_FENCE)
+        inventory = await client.fence(HIGHEST_FENCE)
         future = asyncio.get_running_loop().create_future()
         self.pending_results[host.name].append(future)
         reply = await client.start(
             platform.StartTask(
                 task_id=task_id,
                 epoch=inventory.epoch,
-                fence=SHARED_FENCE,
+                fence=HIGHEST_FENCE,
                 start_by_ms=inventory.now_ms + LEASE_MS,
                 lease_until_ms=inventory.now_ms + LEASE_MS,
                 cores=kind.cores,
@@ -148,18 +172,18 @@
         return await future
 
     async def apply(self, request):
-        """Takes any change, on this process alone."""
+        """Applies any configuration change, to this process only."""
         change = await serving.read_json(request, messages.ConfigurationChange)
         self.configuration = change.configuration
         self.configuration.revision = change.base_revision + 1
         return serving.json_response(self.configuration)
 
     async def show(self, request):
-        """Shows the configuration of this process."""
+        """Answers with the configuration of this process."""
         return serving.json_response(self.configuration)
 
     async def show_cell(self, request):
-        """Shows every rack as free and owned by this process."""
+        """Answers that this process owns all racks, each with a free slot."""
         racks = [
             messages.Rack(
                 name=name,
@@ -183,29 +207,29 @@
 
 
 def not_run_response():
-    """Builds an answer that may be untrue."""
+    """Returns a "not run" response, although the tasks may have run."""
     reply = exception.Overloaded(
         message="No worker answered in time.",
         remedy="Submit again.",
-        retry_after_ms=MILLISECONDS,
+        retry_after_ms=RETRY_AFTER_MS,
     ).reply()
     return serving.json_response(reply, status=429)
 
 
 async def healthz(request):
-    """Always says that the process is well."""
+    """Answers that the process is ready, whatever its state."""
     return web.Response(text="ready")
 
 
 async def serve(settings):
-    """Runs the naive scheduler until it is stopped at once."""
-    naive = NaiveScheduler(settings=settings)
+    """Runs the naive scheduler until SIGTERM, then exits without draining."""
+    scheduler = NaiveScheduler(settings=settings)
     app = web.Application()
-    app.on_startup.append(naive.load_hosts)
-    app.router.add_post("/v1/requests", naive.submit)
-    app.router.add_post("/v1/configuration", naive.apply)
-    app.router.add_get("/v1/configuration", naive.show)
-    app.router.add_get("/v1/cell", naive.show_cell)
+    app.on_startup.append(scheduler.load_hosts)
+    app.router.add_post("/v1/requests", scheduler.submit)
+    app.router.add_post("/v1/configuration", scheduler.apply)
+    app.router.add_get("/v1/configuration", scheduler.show)
+    app.router.add_get("/v1/cell", scheduler.show_cell)
     app.router.add_get("/healthz", healthz)
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0)
     await runner.setup()
@@ -218,7 +242,7 @@
 
 
 def main():
-    """Runs the naive scheduler."""
+    """Runs one process of the naive scheduler."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--settings", required=True)
     arguments = parser.parse_args()
--- a/packages/cicadafold-standins/src/cicadafold_standins/proxy.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/proxy.py
@@ -1,12 +1,15 @@
-"""TCP proxy that adds delay, a bandwidth limit and faults.
-
-The proxy reads its routes from a JSON file. Each route listens on one
-address and forwards to another; routes that share a link share its
-bandwidth. Faults are set per link by ``POST /faults`` on the control
-address, and ``GET /counters`` reports the bytes that each link carried.
-
-A route with several destinations balances connections over those whose
-``/healthz`` answers 200, as the balancer in front of the entry hosts does.
+"""TCP proxy that adds delay, bandwidth limits and network faults.
+
+The proxy reads its routes from a JSON file. Each route listens on one address
+and forwards connections to a destination. Every route belongs to a link, which
+has a delay and a bandwidth pool for each direction; routes whose links name
+the same pool share its bandwidth. ``POST /faults`` on the control address sets
+the mode of links, and ``GET /counters`` returns the bytes that each pool has
+carried.
+
+A route with ``balance`` distributes its connections in turn over the
+destinations whose ``/healthz`` answers 200, as the balancer in front of the
+entry hosts does.
 """
 
 import argparse
@@ -35,11 +38,20 @@
 HEALTH_PERIOD_S = 0.25
 HEALTH_TIMEOUT_S = 1.0
 BITS_PER_BYTE = 8
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 
 class LinkMode(enum.Enum):
-    """What a link does with connections and data."""
+    """What a link does with connections and data.
+
+    Attributes:
+        FORWARD: Accepts connections and forwards data.
+        RESET: Resets open and new connections.
+        BLACKHOLE: Discards the data of open and new connections, and keeps
+            the connections open.
+        BLACKHOLE_EXISTING: Discards the data of the connections that are
+            open now, and forwards the data of new ones.
+    """
 
     FORWARD = "open"
     RESET = "cut"
@@ -58,9 +70,9 @@
     """A link between two places.
 
     Attributes:
-        delay_ms: Delay of one way in milliseconds.
-        up: Pool of the bytes from the connecting side.
-        down: Pool of the bytes to the connecting side.
+        up: Name of the pool for bytes from the side that connects.
+        down: Name of the pool for bytes to the side that connects.
+        delay_ms: One-way delay in milliseconds.
     """
 
     name: str
@@ -70,7 +82,15 @@
 
 
 class Route(msgspec.Struct, kw_only=True):
-    """Forwards connections from an address to destinations."""
+    """A listening address and where its connections are forwarded to.
+
+    Attributes:
+        listen: Address to listen on.
+        destinations: Addresses to connect to.
+        link: Name of the link that the connections use.
+        balance: Whether only destinations whose health check succeeds are
+            used.
+    """
 
     listen: str
     destinations: list[str]
@@ -79,7 +99,7 @@
 
 
 class ProxySettings(msgspec.Struct, kw_only=True):
-    """Settings of one proxy process."""
+    """Settings of one proxy process; ``control`` is an address."""
 
     control: str
     pools: list[PoolSettings]
@@ -95,7 +115,12 @@
 
 
 class Pool:
-    """Bandwidth that connections share in one direction."""
+    """Bandwidth that connections share in one direction.
+
+    Attributes:
+        busy_until_s: Loop time in seconds at which all scheduled data has
+            been transmitted.
+    """
 
     def __init__(self, *, settings):
         self.bits_per_s = settings.bandwidth_bits_per_s
@@ -103,7 +128,7 @@
         self.busy_until_s = 0.0
 
     def schedule_transmission(self, size, now_s):
-        """Returns when the last bit of a chunk has left."""
+        """Reserves bandwidth for a chunk; returns its end in loop seconds."""
         self.bytes_carried += size
         if not self.bits_per_s:
             return now_s
@@ -113,17 +138,24 @@
 
 
 class Link:
-    """Shared state of the connections over one link."""
+    """Mode, delay and open connections of one link.
+
+    Attributes:
+        connections: Open ``ProxyConnection`` objects, of both sides.
+    """
 
     def __init__(self, *, settings, pools):
-        self.delay_s = settings.delay_ms / MILLISECONDS
+        self.delay_s = settings.delay_ms / MS_PER_S
         self.up = pools[settings.up]
         self.down = pools[settings.down]
         self.mode = LinkMode.FORWARD
         self.connections = set()
 
     def set_mode(self, mode):
-        """Applies a mode to this link and its open connections."""
+        """Sets the mode of this link and applies it to its open connections.
+
+        Back in ``FORWARD``, connections that were blackholed stay so.
+        """
         self.mode = mode
         for connection in list(self.connections):
             if mode is LinkMode.RESET:
@@ -133,7 +165,17 @@
 
 
 class ProxyConnection(asyncio.Protocol):
-    """One side of a forwarded connection."""
+    """One of the two TCP connections that form a forwarded connection.
+
+    Attributes:
+        pool: ``Pool`` of the bytes that this connection receives.
+        peer: ``ProxyConnection`` to the other side, which received data is
+            forwarded to, or None until it is made.
+        discarding: Whether data in both directions is discarded.
+        pending: Pairs of loop time in seconds and data to write here.
+        timer: Timer of the first pending write, or None.
+        early_data: Data that was received before ``peer`` was made.
+    """
 
     def __init__(self, *, link, pool):
         self.link = link
@@ -148,14 +190,14 @@
         self.loop = asyncio.get_running_loop()
 
     def connection_made(self, transport):
-        """Registers the connection with its link."""
+        """Registers the connection with its link, or resets it if aborted."""
         self.transport = transport
         self.link.connections.add(self)
         if self.aborted:
             transport.abort()
 
     def data_received(self, data):
-        """Forwards data to the other side after the link's delay."""
+        """Forwards received data, or discards it while blackholed."""
         if self.discarding or self.link.mode is LinkMode.BLACKHOLE:
             return
         if self.peer is None:
@@ -164,7 +206,7 @@
             self.forward(data)
 
     def forward(self, data):
-        """Queues data, or the end of the stream, for delivery."""
+        """Schedules data, or None for the end, for the other side."""
         now_s = self.loop.time()
         size = 0 if data is None else len(data)
         due_s = (
@@ -179,7 +221,7 @@
             peer.timer = self.loop.call_at(due_s, peer.deliver_due)
 
     def deliver_due(self):
-        """Delivers the chunks whose time has come."""
+        """Writes the pending chunks that are due, and sets the next timer."""
         self.timer = None
         now_s = self.loop.time()
         while self.pending and self.pending[0][0] <= now_s:
@@ -189,7 +231,7 @@
             self.timer = self.loop.call_at(due_s, self.deliver_due)
 
     def deliver(self, data):
-        """Writes a chunk; None closes the connection."""
+        """Writes data to this connection; None closes it."""
         if self.discarding or self.transport.is_closing():
             return
         if data is None:
@@ -198,21 +240,28 @@
             self.transport.write(data)
 
     def connection_lost(self, error):
-        """Closes the other side unless the link hides it."""
+        """Closes the other side, unless this one is blackholed."""
         self.link.connections.discard(self)
-        hidden = self.discarding or self.link.mode is LinkMode.BLACKHOLE
-        if self.peer is not None and not hidden:
+        suppress_close = (
+            self.discarding or self.link.mode is LinkMode.BLACKHOLE
+        )
+        if self.peer is not None and not suppress_close:
             self.forward(None)
 
     def abort(self):
-        """Resets the connection, also one that is still being made."""
+        """Resets the connection now, or as soon as it is made."""
         self.aborted = True
         if self.transport is not None:
             self.transport.abort()
 
 
 class RouteListener:
-    """Accepts the connections of one route."""
+    """Accepts and forwards the connections of one route.
+
+    Attributes:
+        healthy: Destinations whose last health check succeeded; all of them
+            for a route that does not balance.
+    """
 
     def __init__(self, *, route, link):
         self.route = route
@@ -221,20 +270,23 @@
         self.next_index = 0
 
     def next_destination(self):
-        """Returns the next healthy destination, or None."""
+        """Returns the next healthy destination in turn, or None."""
         if not self.healthy:
             return None
         self.next_index += 1
         return self.healthy[self.next_index % len(self.healthy)]
 
     def accept(self):
-        """Creates the near end of a new connection."""
+        """Returns the protocol object of a new connection and connects it."""
         downstream = ProxyConnection(link=self.link, pool=self.link.up)
         asyncio.get_running_loop().create_task(self.connect(downstream))
         return downstream
 
     async def connect(self, downstream):
-        """Connects the far end of a new connection."""
+        """Connects an accepted connection to a destination.
+
+        It is reset if no destination is healthy or the chosen one refuses.
+        """
         if self.link.mode is LinkMode.RESET:
             downstream.abort()
             return
@@ -265,20 +317,20 @@
             upstream.transport.close()
 
     async def watch_health(self):
-        """Keeps the list of healthy destinations."""
+        """Checks all destinations periodically and updates ``healthy``."""
         timeout = aiohttp.ClientTimeout(total=HEALTH_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 checks = [
-                    self.check(session, destination)
+                    self.check_health(session, destination)
                     for destination in self.route.destinations
                 ]
                 healthy = await asyncio.gather(*checks)
                 self.healthy = [d for d in healthy if d]
                 await asyncio.sleep(HEALTH_PERIOD_S)
 
-    async def check(self, session, destination):
-        """Returns the destination if it is healthy."""
+    async def check_health(self, session, destination):
+        """Returns the destination if its health check succeeds, else None."""
         try:
             url = f"http://{destination}/healthz"
             async with session.get(url) as reply:
@@ -288,7 +340,7 @@
 
 
 async def control_app(links, pools):
-    """Builds the control interface."""
+    """Returns the web application that sets faults and shows counters."""
 
     async def set_faults(request):
         fault = await serving.read_json(request, FaultRequest)
@@ -298,8 +350,8 @@
         return web.Response()
 
     async def counters(request):
-        carried = {n: pool.bytes_carried for n, pool in pools.items()}
-        return web.json_response(carried)
+        bytes_by_pool = {n: pool.bytes_carried for n, pool in pools.items()}
+        return web.json_response(bytes_by_pool)
 
     app = web.Application()
     app.router.add_post("/faults", set_faults)
@@ -308,17 +360,17 @@
 
 
 async def serve(settings):
-    """Runs all routes until SIGTERM."""
+    """Serves routes and control interface until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     pools = {s.name: Pool(settings=s) for s in settings.pools}
     links = {s.name: Link(settings=s, pools=pools) for s in settings.links}
-    tasks = []
+    health_tasks = []
     for route in settings.routes:
         listener = RouteListener(route=route, link=links[route.link])
         host, _, port = route.listen.rpartition(":")
         await loop.create_server(listener.accept, host, int(port), backlog=512)
         if route.balance:
-            tasks.append(loop.create_task(listener.watch_health()))
+            health_tasks.append(loop.create_task(listener.watch_health()))
     runner = web.AppRunner(await control_app(links, pools), access_log=None)
     await runner.setup()
     host, _, port = settings.control.rpartition(":")
@@ -327,13 +379,13 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopped.set)
     await stopped.wait()
-    for task in tasks:
+    for task in health_tasks:
         task.cancel()
     await runner.cleanup()
 
 
 def main():
-    """Runs the proxy."""
+    """Runs the proxy with the settings of a file."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--settings", required=True)
     arguments = parser.parse_args()
--- a/packages/cicadafold-standins/src/cicadafold_standins/results.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/results.py
@@ -1,4 +1,4 @@
-"""Writes the results of a measurement."""
+"""Prints the results of measurements and writes them to files."""
 
 import pathlib
 
@@ -8,11 +8,11 @@
 
 
 def write_text(text, output):
-    """Prints a text, and writes it to a file if one is named.
+    """Prints a text and, if a path is given, writes it to that file.
 
     Args:
-        text: What to write.
-        output: Path of the file, or an empty text.
+        text: Text to print.
+        output: Path of the file, or an empty string to print only.
     """
     if output:
         path = pathlib.Path(output)
@@ -22,6 +22,11 @@
 
 
 def write_json(results, output):
-    """Prints results as indented JSON, and writes them if asked to."""
+    """Prints results as indented JSON and writes them if a path is given.
+
+    Args:
+        results: Any value that msgspec encodes.
+        output: Path of the file, or an empty string to print only.
+    """
     encoded = msgspec.json.format(msgspec.json.encode(results), indent=2)
     write_text(encoded.decode(), output)
--- a/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
@@ -1,4 +1,8 @@
-"""Costs of state at the letter's size, held by the code that serves it."""
+"""Time and memory costs of state in memory, at the size of a large cell.
+
+No processes are started: the state is built in the classes that the daemon
+uses, for counts of workers, requests and teams that the caller names.
+"""
 
 import asyncio
 from cicadafold.controllog import records
@@ -36,11 +40,15 @@
 WORKERS_PER_RACK = 8
 ACCELERATORS = 7500
 DECISION_COUNT = 2000
-MICROSECONDS = 1e6
+US_PER_S = 1e6
 
 
 def make_hosts(count):
-    """Returns workers in racks of 8, some with accelerators."""
+    """Returns workers in racks of 8, spread over regions and domains.
+
+    Args:
+        count: Number of workers.
+    """
     hosts = []
     for index in range(count):
         rack = index // WORKERS_PER_RACK
@@ -54,7 +62,7 @@
 
 
 def make_host_table(hosts):
-    """Returns a host table that holds a fixed list."""
+    """Returns a host table with a fixed list of workers."""
     table = host_tables.HostTable(source=None, recorded=dict)
     table.listed = hosts
     table.rebuild()
@@ -62,7 +70,14 @@
 
 
 def measure_routing(count):
-    """Returns the time to choose an assigned rack, p50 and p99 in us."""
+    """Measures the choice of an assigned rack and of a redirect rack.
+
+    Args:
+        count: Number of workers.
+
+    Returns:
+        Elapsed time of one request in microseconds, p50 and p99.
+    """
     table = make_host_table(make_hosts(count))
     state = control_state.ControlState()
     view = membership_view.MembershipView(
@@ -80,29 +95,40 @@
                 wait_ms=0,
             )
         )
-    made = routing.Routing(hosts=table, view=view, region="r1")
+    router = routing.Routing(hosts=table, view=view, region="r1")
     kind = memory.make_kind()
     for number in range(routing.REQUEST_BUCKETS * 3):
-        next(made.candidates(f"warm-{number}", "r1", kind, 0))
+        next(router.candidates(f"warm-{number}", "r1", kind, 0))
     durations_us = []
     for number in range(DECISION_COUNT):
-        started = time.perf_counter()
-        rack = next(made.candidates(f"q{number}", "r1", kind, 0))
-        made.find_redirect_rack(rack, kind, wait_ms=0, price_ms=1, headroom=0)
-        durations_us.append((time.perf_counter() - started) * MICROSECONDS)
+        started_s = time.perf_counter()
+        rack = next(router.candidates(f"q{number}", "r1", kind, 0))
+        router.find_redirect_rack(
+            rack, kind, wait_ms=0, price_ms=1, headroom=0
+        )
+        durations_us.append((time.perf_counter() - started_s) * US_PER_S)
     return percentile(durations_us, 0.5), percentile(durations_us, 0.99)
 
 
 def percentile(values, share):
-    """Returns a percentile."""
+    """Returns the value below which a share of the values lies.
+
+    Args:
+        values: Values in any order; at least one.
+        share: Share of the values, from 0 to 1.
+    """
     return sorted(values)[int(share * (len(values) - 1))]
 
 
 async def measure_rack_owner(count, tasks):
-    """Returns memory and decision time of an owner of workers.
+    """Measures the rack owners of a cell and their placement decisions.
+
+    Args:
+        count: Number of workers.
+        tasks: Number of requests that are placed.
 
     Returns:
-        Bytes for each worker with its tasks, and the microseconds of one
+        Bytes for each idle worker, and the elapsed microseconds of one
         placement in a rack, p50 and p99.
     """
     hosts = make_hosts(count)
@@ -115,10 +141,10 @@
     for host in hosts:
         by_rack.setdefault(host.rack, []).append(host)
     tracemalloc.start()
-    before, _ = tracemalloc.get_traced_memory()
+    before_bytes, _ = tracemalloc.get_traced_memory()
     owners = [
-        rack_owner.RackOwner(name=rack, term=1, hosts=found, node=node)
-        for rack, found in by_rack.items()
+        rack_owner.RackOwner(name=rack, term=1, hosts=rack_hosts, node=node)
+        for rack, rack_hosts in by_rack.items()
     ]
     while not all(
         link.state is target_link.LinkState.READY
@@ -126,14 +152,14 @@
         for link in owner.links.values()
     ):
         await asyncio.sleep(0.05)
-    after, _ = tracemalloc.get_traced_memory()
+    after_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     durations_us = []
     for number in range(tasks):
         owner = owners[number % len(owners)]
-        started = time.perf_counter()
+        started_s = time.perf_counter()
         owner.submit(make_dispatch(owner.name, number), discard_reply)
-        durations_us.append((time.perf_counter() - started) * MICROSECONDS)
+        durations_us.append((time.perf_counter() - started_s) * US_PER_S)
         if number % 500 == 0:
             await asyncio.sleep(0)
     for owner in owners:
@@ -142,14 +168,21 @@
         target.hold = False
     await asyncio.sleep(0.1)
     return (
-        (after - before) / count,
+        (after_bytes - before_bytes) / count,
         percentile(durations_us, 0.5),
         percentile(durations_us, 0.99),
     )
 
 
 async def measure_rack_claimer(count):
-    """Returns the milliseconds of one look at all racks."""
+    """Measures one pass of the rack claimer over all racks.
+
+    Args:
+        count: Number of workers; all racks are owned by other members.
+
+    Returns:
+        CPU time of one pass in milliseconds, mean of 20 passes.
+    """
     table = make_host_table(make_hosts(count))
     state = control_state.ControlState()
     view = membership_view.MembershipView(
@@ -177,33 +210,48 @@
         view=view,
         tail=types.SimpleNamespace(state=state),
     )
-    made = rack_claimer.RackClaimer(node=node)
-    started = time.process_time()
+    claimer = rack_claimer.RackClaimer(node=node)
+    started_s = time.process_time()
     for _ in range(20):
-        made.sync_owners()
-        await made.claim_unowned_racks()
-        await made.hand_over()
-    return (time.process_time() - started) / 20 * 1000
+        claimer.sync_owners()
+        await claimer.claim_unowned_racks()
+        await claimer.hand_over()
+    return (time.process_time() - started_s) / 20 * 1000
 
 
 def measure_host_list(count):
-    """Returns kilobytes, and milliseconds of taking in an equal list."""
+    """Measures the host list and its decoding into a host table.
+
+    The list equals the one that the table already holds.
+
+    Args:
+        count: Number of workers in the list.
+
+    Returns:
+        Size of the encoded list in kilobytes, and the CPU time in
+        milliseconds to decode it and rebuild the table.
+    """
     hosts = make_hosts(count)
     body = msgspec.json.encode(platform.HostList(hosts=hosts))
     table = make_host_table(hosts)
-    started = time.process_time()
+    started_s = time.process_time()
     table.listed = msgspec.json.decode(body, type=platform.HostList).hosts
     table.rebuild()
-    used = time.process_time() - started
-    return len(body) / 1e3, used * 1000
+    elapsed_s = time.process_time() - started_s
+    return len(body) / 1e3, elapsed_s * 1000
 
 
 def discard_reply(reply):
-    """Takes a reply and does nothing."""
+    """Ignores the reply to a dispatched request."""
 
 
 def make_dispatch(rack, number):
-    """Returns a dispatch of an urgent task."""
+    """Returns a dispatch of a request to a rack.
+
+    Args:
+        rack: Name of the rack.
+        number: Number that makes the request id unique.
+    """
     return frames.Dispatch(
         serial=1,
         rack=rack,
@@ -221,7 +269,11 @@
 
 
 def measure_rack_requests(count):
-    """Returns the megabytes of running requests at their owner."""
+    """Returns the memory in MB of running requests at their rack owner.
+
+    Args:
+        count: Number of requests, each with one task.
+    """
     kind = memory.make_kind()
     tracemalloc.start()
     requests = {}
@@ -243,9 +295,17 @@
 
 
 def measure_control_state(count):
-    """Returns megabytes and fold time of recorded requests."""
+    """Measures the control state that holds open recorded requests.
+
+    Args:
+        count: Number of requests.
+
+    Returns:
+        Memory of the state in MB, CPU time to apply one accept record in
+        microseconds, and size of the encoded snapshot in MB.
+    """
     state = control_state.ControlState()
-    batches = []
+    bodies = []
     for number in range(count):
         accept = records.Accept(
             request_id=f"request-{number}",
@@ -258,23 +318,31 @@
             deadline_ms=1000,
             payload="x" * 64,
         )
-        batches.append(records.encode_entry([accept]))
+        bodies.append(records.encode_entry([accept]))
     tracemalloc.start()
-    started = time.process_time()
-    for offset, body in enumerate(batches, start=1):
+    started_s = time.process_time()
+    for offset, body in enumerate(bodies, start=1):
         entry = platform.LogEntry(
             offset=offset, at_ms=offset, body=msgspec.Raw(body)
         )
         replay.apply_entry(state, entry)
-    used = time.process_time() - started
+    elapsed_s = time.process_time() - started_s
     megabytes = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     snapshot = len(msgspec.json.encode(state)) / 1e6
-    return megabytes, used / count * MICROSECONDS, snapshot
+    return megabytes, elapsed_s / count * US_PER_S, snapshot
 
 
 def measure_fair_queue(count):
-    """Returns the microseconds of serving the fairest team, p99."""
+    """Measures dequeuing from the queue that is fair between teams.
+
+    Args:
+        count: Number of teams, each with four queued requests.
+
+    Returns:
+        Elapsed time in microseconds to take the next request and charge
+        its team, p99.
+    """
     kind = memory.make_kind(lane=messages.Lane.patient)
     queue = request_queue.RequestQueue()
     for number in range(count * 4):
@@ -289,16 +357,20 @@
         )
     durations_us = []
     for _ in range(min(DECISION_COUNT, count * 3)):
-        started = time.perf_counter()
+        started_s = time.perf_counter()
         request = queue.peek_patient(lambda team: True)
         queue.remove(request)
         queue.charge_team(request, cost=1.0, weight=1)
-        durations_us.append((time.perf_counter() - started) * MICROSECONDS)
+        durations_us.append((time.perf_counter() - started_s) * US_PER_S)
     return percentile(durations_us, 0.99)
 
 
 def measure_configuration(count):
-    """Returns the kilobytes of a configuration with teams."""
+    """Returns the size in kilobytes of an encoded configuration.
+
+    Args:
+        count: Number of teams; the number of kinds is 20.
+    """
     configuration = messages.Configuration(
         revision=1,
         kinds=[memory.make_kind(f"kind-{n}") for n in range(20)],
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_command_line.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line against a running cell, as a script uses it."""
+"""Tests of the command line as a subprocess against a running cell."""
 
 import pathlib
 import subprocess
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def run_cli(running):
-    """Returns a function that runs the command line."""
+    """Returns a function that runs the command line on the cell."""
     program = pathlib.Path(sys.executable).with_name("cicadafold")
 
     def run(*arguments, address=None):
@@ -48,13 +48,13 @@
     assert answer.outcome is messages.Outcome.done
 
 
-def test_refusal_has_its_exit_code_and_remedy(run_cli):
+def test_refused_submit_exits_not_run_with_a_remedy(run_cli):
     completed = run_cli("submit", "nothing", "--team", "schools")
     assert completed.returncode == ExitCode.NOT_RUN
     assert "Remedy:" in completed.stderr
 
 
-def test_unreachable_entry_host_has_its_exit_code(run_cli):
+def test_unreachable_entry_host_exits_unreachable(run_cli):
     completed = run_cli("cell", address="http://127.0.0.1:1")
     assert completed.returncode == ExitCode.UNREACHABLE
 
@@ -75,7 +75,7 @@
     assert "team set" in history
 
 
-def test_stale_base_is_a_conflict(run_cli, tmp_path):
+def test_apply_with_a_stale_base_revision_exits_conflict(run_cli, tmp_path):
     shown = run_cli("config", "show", "--output", "json").stdout
     path = tmp_path / "configuration.json"
     path.write_text(shown)
@@ -84,7 +84,7 @@
     assert "Remedy:" in completed.stderr
 
 
-def test_burn_report_as_text_and_page(run_cli, tmp_path):
+def test_burn_report_prints_text_and_writes_html(run_cli, tmp_path):
     page = tmp_path / "burn.html"
     completed = run_cli("report", "burn", "--html", str(page))
     assert completed.returncode == 0
@@ -92,19 +92,19 @@
     assert "<svg" in page.read_text()
 
 
-def test_cell_shows_owners(run_cli):
+def test_cell_shows_rack_owners(run_cli):
     completed = run_cli("cell")
     assert "rack rack-1: owned by entry-" in completed.stdout
 
 
-def test_wrong_file_is_a_usage_fault(run_cli, tmp_path):
+def test_unknown_field_in_a_kind_file_exits_usage(run_cli, tmp_path):
     path = tmp_path / "kind.toml"
     path.write_text('name = "x"\nsurprise = 1\n')
     completed = run_cli("kind", "set", str(path))
     assert completed.returncode == ExitCode.USAGE
 
 
-def test_settings_check_lists_all_faults(tmp_path):
+def test_settings_check_lists_all_errors(tmp_path):
     program = pathlib.Path(sys.executable).with_name("cicadafold")
     path = tmp_path / "entry.toml"
     path.write_text('[member]\nname = "a b"\nlisten = "here"\n')
@@ -120,7 +120,7 @@
         assert f"{key}: found" in completed.stderr
 
 
-def test_daemon_refuses_faulty_settings(tmp_path):
+def test_daemon_rejects_invalid_settings(tmp_path):
     path = tmp_path / "entry.toml"
     path.write_text("[member]\n")
     completed = subprocess.run(
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_examples.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Every example of the gallery is valid and runs."""
+"""Tests that every example is valid, runs and is listed in the README."""
 
 import pathlib
 import subprocess
@@ -17,19 +17,19 @@
 
 
 @pytest.mark.parametrize("path", KINDS, ids=lambda path: path.stem)
-def test_kind_is_valid(path):
+def test_example_kind_is_valid(path):
     document = tomllib.loads(path.read_text())
     kind = msgspec.convert(document, type=messages.Kind)
     operator_calls.check_kind(kind)
 
 
-def test_load_file_is_valid():
+def test_example_load_file_is_valid():
     document = tomllib.loads((EXAMPLES / "load.toml").read_text())
     assert msgspec.convert(document, type=load.LoadFile).mix
 
 
 @pytest.mark.parametrize("kind", ["string_gauge", "cutting_sheet"])
-def test_caller_gets_its_answer(running, kind):
+def test_example_caller_receives_an_answer(running, kind):
     program = EXAMPLES / "submit_and_wait.py"
     completed = subprocess.run(
         [sys.executable, program, running.address(), kind, "schools"],
@@ -41,7 +41,7 @@
     assert "'outcome': 'done'" in completed.stdout
 
 
-def test_gallery_names_every_example():
+def test_readme_lists_every_example():
     text = (EXAMPLES / "README.md").read_text()
     for path in EXAMPLES.rglob("*"):
         if path.is_file() and path.name != "README.md":
