--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/worker.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/worker.py
@@ -10,7 +10,7 @@
 
 __all__ = ["FleetWorker"]
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 LONGEST_LEASE_MS = 6000.0
 CHECK_INTERVAL_S = 0.01
 DEFAULT_CORES_MILLI = 1000
@@ -181,7 +181,10 @@
         return web.json_response(body, status=status)
 
     def extend(self, deadline_ms):
-        """Extends the lease to a deadline, by at most LONGEST_LEASE_MS."""
+        """Extends the lease to a deadline in ms of the worker's clock.
+
+        The lease ends at most LONGEST_LEASE_MS from now.
+        """
         if deadline_ms is not None:
             latest_ms = self.clock_ms + LONGEST_LEASE_MS
             self.lease_until_ms = max(
@@ -273,7 +276,7 @@
             if number <= acknowledged:
                 self.run_log.record_acknowledgement(task, outcome)
         self.finished = [row for row in self.finished if row[0] > acknowledged]
-        wait_s = message.get("waitMs", 0) / MILLISECONDS
+        wait_s = message.get("waitMs", 0) / MS_PER_S
         if wait_s and not self.finished:
             try:
                 async with asyncio.timeout(wait_s):
