--- a/packages/cicadafold-standins/src/cicadafold_standins/bench.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/bench.py
@@ -83,7 +83,7 @@
         """
         self.print_progress("idle entry hosts")
         await asyncio.sleep(WARM_UP_S)
-        entries = self.cell.running_entries()
+        entries = self.cell.running_entry_hosts()
         cpu_before = [processes.cpu_seconds(e.pid) for e in entries]
         sent_before = [processes.sent_bytes(e.pid) for e in entries]
         await asyncio.sleep(IDLE_DURATION_S)
@@ -110,13 +110,13 @@
         fences above any term of a rack owner.
         """
         self.print_progress("bare relay")
-        address = self.cell.port()
+        address = self.cell.free_address()
         arguments = ["--listen", address]
         for host in self.cell.hosts:
             arguments += ["--worker", host.address]
         relay = processes.Process(
             name="relay",
-            arguments=self.cell.python("relay", *arguments),
+            arguments=self.cell.stand_in_command("relay", *arguments),
             log_path=self.cell.folder / "relay.log",
         )
         await relay.start()
@@ -153,7 +153,7 @@
             duration_s: Length of the load in seconds.
         """
         self.print_progress(f"{name} load, {rate_per_s:.0f} requests a second")
-        entries = self.cell.running_entries()
+        entries = self.cell.running_entry_hosts()
         before = sum(processes.cpu_seconds(e.pid) for e in entries)
         result = await self.generate_load(addresses, rate_per_s, duration_s)
         cpu_used_s = (
@@ -204,7 +204,7 @@
         for address in addresses:
             arguments += ["--address", address]
         process = await asyncio.create_subprocess_exec(
-            *self.cell.python("load", *arguments),
+            *self.cell.stand_in_command("load", *arguments),
             stdout=asyncio.subprocess.PIPE,
         )
         output, _ = await process.communicate()
--- a/packages/cicadafold-standins/src/cicadafold_standins/demo.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/demo.py
@@ -1,4 +1,4 @@
-"""Demonstration: a cell under load and faults, with checked promises."""
+"""Demonstration: a cell under load and faults, with checked guarantees."""
 
 import argparse
 import asyncio
@@ -11,9 +11,9 @@
 
 from cicadafold_standins import callers
 from cicadafold_standins import cells
+from cicadafold_standins import checker
 from cicadafold_standins import processes
 from cicadafold_standins import testcell
-from cicadafold_standins import verdict
 
 __all__ = ["main"]
 
@@ -35,7 +35,7 @@
         load_s: Length of the load in seconds.
 
     Attributes:
-        problems: Promises that were broken, as seen by the demonstration.
+        violations: Broken guarantees that the demonstration itself found.
         change_duration_s: Seconds until the configuration change was in
             force at all entry hosts, or None before that.
     """
@@ -44,7 +44,7 @@
         self.plan = plan
         self.load_s = load_s
         self.started_s = time.monotonic()
-        self.problems = []
+        self.violations = []
         self.change_duration_s = None
 
     def print_progress(self, text):
@@ -70,7 +70,9 @@
                     plan=self.plan,
                     seed=DEMO_SEED + index,
                 )
-                for index, (region, address) in enumerate(cell.callers.items())
+                for index, (region, address) in enumerate(
+                    cell.balancers.items()
+                )
             ]
             self.print_progress(
                 f"Callers send requests for {self.load_s:.0f} s."
@@ -82,14 +84,16 @@
             shares = (2 / 3, 1 / 3)
             await asyncio.gather(
                 *(
-                    group.offer(duration_s=self.load_s, scale=share)
+                    group.generate_load(duration_s=self.load_s, scale=share)
                     for group, share in zip(groups, shares, strict=True)
                 )
             )
             self.print_progress(
                 "The load has ended. Waiting for the last answers."
             )
-            await asyncio.gather(*(group.finish() for group in groups))
+            await asyncio.gather(
+                *(group.wait_for_answers() for group in groups)
+            )
             await fault_task
             progress_task.cancel()
             for group in groups:
@@ -137,7 +141,7 @@
         self.print_progress(f"Changing the configuration: status {status}.")
 
         async def change_in_force():
-            for entry in cell.running_entries():
+            for entry in cell.running_entry_hosts():
                 body = await cell.get(entry.address, "/v1/configuration")
                 if body is None:
                     continue
@@ -154,9 +158,9 @@
             f"Revision 2 is in force after {self.change_duration_s:.2f} s."
         )
         if self.change_duration_s > CHANGE_BOUND_S:
-            self.problems.append(
-                verdict.Problem(
-                    promise=verdict.Promise.CONFIGURATION,
+            self.violations.append(
+                checker.Violation(
+                    guarantee=checker.Guarantee.CONFIGURATION,
                     text="the change was in force too late",
                 )
             )
@@ -165,7 +169,8 @@
         """Marks a worker as leaving in the platform's host list.
 
         A task that is started on the worker later than ``LEAVE_BOUND_S``
-        after the list shows it as leaving counts as a broken promise.
+        after the list shows it as leaving counts as a
+        violation.
         """
         name = "rack-3-w1"
         lag_s = 0.5
@@ -178,8 +183,10 @@
     async def summarize(self, cell, groups):
         """Prints the tables of the run and returns its summary."""
         records = [r for group in groups for r in group.records]
-        result = verdict.judge(records, cell.worker_records(), self.plan.kinds)
-        result.problems.extend(self.problems)
+        result = checker.check_records(
+            records, cell.worker_records(), self.plan.kinds
+        )
+        result.violations.extend(self.violations)
         link_bytes, log_counters = await cell.counters()
         burn_report = await self.read_burn(cell)
         print_table(result)
@@ -202,8 +209,8 @@
             f"at most {log_counters['peak_appends_per_s']} in a second"
         )
         print_burn(burn_report)
-        for problem in result.problems[:20]:
-            print(f"BROKEN {problem.promise.value}: {problem.text}")
+        for violation in result.violations[:20]:
+            print(f"BROKEN {violation.guarantee.value}: {violation.text}")
         return {
             "cell": self.plan.name,
             "requests": len(records),
@@ -216,12 +223,12 @@
             "log_appends": log_counters["appends"],
             "log_append_bytes": log_counters["append_bytes"],
             "change_in_force_s": round(self.change_duration_s or 0.0, 3),
-            "broken": len(result.problems),
+            "broken": len(result.violations),
         }
 
     async def read_burn(self, cell):
         """Returns the burn report of the cell, from any entry host."""
-        entry = cell.running_entries()[0]
+        entry = cell.running_entry_hosts()[0]
         body = await cell.get(entry.address, "/v1/reports/burn")
         return msgspec.json.decode(body, type=messages.BurnReport)
 
@@ -258,7 +265,7 @@
 
 
 def main():
-    """Runs the demonstration; exits with 1 if a promise was broken."""
+    """Runs the demonstration; exits with 1 if a guarantee was broken."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--cell", default="tezgah", choices=cells.CELLS)
     parser.add_argument("--load-s", type=float, default=LOAD_S)
--- a/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
@@ -20,7 +20,7 @@
 from cicadafold.placement import routing
 from cicadafold.platform import messages as platform
 from cicadafold_schema import messages
-from cicadafold_standins import memory
+from cicadafold_standins import fakes
 import msgspec
 import time
 import tracemalloc
@@ -52,7 +52,7 @@
     hosts = []
     for index in range(count):
         rack = index // WORKERS_PER_RACK
-        host = memory.make_host(f"w{index}", slots=64, cores=64.0)
+        host = fakes.make_host(f"w{index}", slots=64, cores=64.0)
         host.rack = f"rack-{rack}"
         host.region = f"r{rack % 5}"
         host.failure_domain = f"d{rack % 19}"
@@ -96,7 +96,7 @@
             )
         )
     router = routing.Routing(hosts=table, view=view, region="r1")
-    kind = memory.make_kind()
+    kind = fakes.make_kind()
     for number in range(routing.REQUEST_BUCKETS * 3):
         next(router.candidates(f"warm-{number}", "r1", kind, 0))
     durations_us = []
@@ -132,11 +132,11 @@
         placement in a rack, p50 and p99.
     """
     hosts = make_hosts(count)
-    node = memory.FakeNode(
-        kinds=[memory.make_kind(lease_ms=60_000)], hosts=hosts
+    node = fakes.FakeNode(
+        kinds=[fakes.make_kind(lease_ms=60_000)], hosts=hosts
     )
     for target in node.targets.values():
-        target.hold = True
+        target.hold_tasks = True
     by_rack = {}
     for host in hosts:
         by_rack.setdefault(host.rack, []).append(host)
@@ -165,7 +165,7 @@
     for owner in owners:
         owner.retire()
     for target in node.targets.values():
-        target.hold = False
+        target.hold_tasks = False
     await asyncio.sleep(0.1)
     return (
         (after_bytes - before_bytes) / count,
@@ -274,7 +274,7 @@
     Args:
         count: Number of requests, each with one task.
     """
-    kind = memory.make_kind()
+    kind = fakes.make_kind()
     tracemalloc.start()
     requests = {}
     for number in range(count):
@@ -343,7 +343,7 @@
         Elapsed time in microseconds to take the next request and charge
         its team, p99.
     """
-    kind = memory.make_kind(lane=messages.Lane.patient)
+    kind = fakes.make_kind(lane=messages.Lane.patient)
     queue = request_queue.RequestQueue()
     for number in range(count * 4):
         queue.push(
@@ -373,7 +373,7 @@
     """
     configuration = messages.Configuration(
         revision=1,
-        kinds=[memory.make_kind(f"kind-{n}") for n in range(20)],
+        kinds=[fakes.make_kind(f"kind-{n}") for n in range(20)],
         teams=[messages.Team(name=f"team-{n}") for n in range(count)],
     )
     return len(msgspec.json.encode(configuration)) / 1e3
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_command_line.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_command_line.py
@@ -15,12 +15,12 @@
 
 
 @pytest.fixture
-def run_cli(running):
+def run_cli(running_cell):
     """Returns a function that runs the command line on the cell."""
     program = pathlib.Path(sys.executable).with_name("cicadafold")
 
     def run(*arguments, address=None):
-        address = address or f"http://{running.address()}"
+        address = address or f"http://{running_cell.address()}"
         return subprocess.run(
             [program, *arguments, "--address", address],
             capture_output=True,
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_operators_guide.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_operators_guide.py
@@ -32,13 +32,13 @@
 
 
 @pytest.mark.parametrize("command", COMMANDS)
-def test_command_exits_as_documented(running, working_directory, command):
+def test_command_exits_as_documented(running_cell, working_directory, command):
     arguments = shlex.split(command)
     program = pathlib.Path(sys.executable).with_name(arguments[0])
     completed = subprocess.run(
         [program, *arguments[1:]],
         cwd=working_directory,
-        env={"CICADAFOLD_ADDRESS": f"http://{running.address()}"},
+        env={"CICADAFOLD_ADDRESS": f"http://{running_cell.address()}"},
         capture_output=True,
         text=True,
         timeout=60,
