--- a/packages/cicadafold/src/cicadafold/placement/tests/test_routing.py
+++ b/packages/cicadafold/src/cicadafold/placement/tests/test_routing.py
@@ -8,7 +8,7 @@
 from cicadafold.membership import view
 from cicadafold.placement import routing
 from cicadafold_schema import messages
-from cicadafold_standins import memory
+from cicadafold_standins import fakes
 
 
 @pytest.fixture
@@ -16,7 +16,7 @@
     """Returns routing over two racks in region r0 and one in r1."""
     table = host_tables.HostTable(source=None, recorded=dict)
     for index, region in enumerate(("r0", "r0", "r1")):
-        host = memory.make_host(f"w{index}")
+        host = fakes.make_host(f"w{index}")
         host.rack = f"rack-{index}"
         host.region = region
         table.listed.append(host)
@@ -43,7 +43,7 @@
 
 
 def find_rack(router, *, wait_ms=0, lane=messages.Lane.urgent):
-    kind = memory.make_kind(lane=lane)
+    kind = fakes.make_kind(lane=lane)
     return router.find_redirect_rack(
         "rack-0", kind, wait_ms=wait_ms, price_ms=200, headroom=0
     )
@@ -75,7 +75,7 @@
 
 
 def test_assigned_rack_is_stable_and_in_the_region_of_origin(router):
-    kind = memory.make_kind()
+    kind = fakes.make_kind()
     first_racks = set()
     for number in range(200):
         found = list(router.candidates(f"q{number}", "r0", kind, 0))
@@ -91,5 +91,5 @@
     router.hosts.listed[2].cores = 64.0
     router.hosts.merged = None
     router.hosts.rebuild()
-    kind = memory.make_kind(cores=32)
+    kind = fakes.make_kind(cores=32)
     assert list(router.candidates("q", "r0", kind, 0)) == ["rack-2"]
