--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -58,7 +58,7 @@
         term: ``Term`` that the process serves, or None.
         term_task: Task that serves the last term, or None.
         peers: ``PeerHandle`` of each peer by its open ``PeerLink``.
-        own_handle: The same for this process.
+        own_handle: ``PeerHandle`` of this process.
     """
 
     def __init__(self, *, settings, make_session=None):
--- a/packages/cicadafold/src/cicadafold/daemon/supervision.py
+++ b/packages/cicadafold/src/cicadafold/daemon/supervision.py
@@ -21,7 +21,7 @@
         run: Coroutine function without arguments.
 
     Attributes:
-        restarts: Loop times in seconds of the recent failures.
+        restarts: Event loop times in seconds of the recent failures.
     """
 
     def __init__(self, *, name, run):
--- a/packages/cicadafold/src/cicadafold/dispatch/placing.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/placing.py
@@ -46,11 +46,11 @@
         estimates: Duration estimates.
         workers: Workers by name.
         links: Links to the workers by name of the worker.
-        all_runs_known: Function that tells whether all run attempts of
+        all_runs_known: Function that returns whether all run attempts of
             earlier terms on the workers of a pool are known.
-        commands_allowed: Function that tells whether to send commands now.
+        commands_allowed: Function that returns whether to send commands now.
         spawn: Function that runs a coroutine as a task.
-        lease: Lease times.
+        lease: ``LeaseTimes`` of the term.
         metrics: Metrics in which starts are counted.
 
     Attributes:
--- a/packages/cicadafold/src/cicadafold/dispatch/unknown_job_runs.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/unknown_job_runs.py
@@ -20,7 +20,7 @@
     certain that there is none.
 
     Args:
-        has_read_up_to: Function that tells whether all job records that
+        has_read_up_to: Function that returns whether all job records that
             existed at a monotonic time, in milliseconds, have been read.
 
     Attributes:
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -28,7 +28,7 @@
 # Shortest time between two reports of progress from which a speed is
 # computed.
 MIN_MEASURED_MS = 150.0
-WHOLE_PERCENT = 100.0
+FULL_PERCENT = 100.0
 STOP_PAUSE_S = 0.1
 # New job records, which a deferred end waits for, are read a few times per
 # second.
@@ -67,7 +67,7 @@
     Args:
         worker: State of the worker.
         client: Client of the worker.
-        lease: Durations of leases.
+        lease: ``LeaseTimes`` of the term.
         events: ``WorkerEventHandler`` that the link reports to.
         journal: Writer of progress, whose ``durable_batch`` is the number of
             the newest batch of records that is durable.
@@ -325,13 +325,13 @@
         if previous_ms is not None and now_ms - previous_ms < MIN_MEASURED_MS:
             return
         run.rate_measured_ms = now_ms
-        if previous_ms is None or row.percent >= WHOLE_PERCENT:
+        if previous_ms is None or row.percent >= FULL_PERCENT:
             return
         expected_ms = self.events.expected_ms(run)
         # Members of a gang wait for each other, so their progress does not
         # show the speed of the worker.
         if expected_ms is not None and not run.task.step.spec.gang:
-            gained = (row.percent - previous) / WHOLE_PERCENT
+            gained = (row.percent - previous) / FULL_PERCENT
             rate = gained * expected_ms / (now_ms - previous_ms)
             self.worker.speed_meter.record_rate(run.name.job, rate, now_ms)
 
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
@@ -31,7 +31,7 @@
         registry: Reader of the registry of workers.
         make_client: Function that returns the client of a worker, from its
             report and the number of the term.
-        lease: ``LeaseTimes`` of the links.
+        lease: ``LeaseTimes`` of the term.
         journal: Writer of progress, which also records the workers.
         term_started_ms: Monotonic time of the term's start, in milliseconds.
 
--- a/packages/cicadafold/src/cicadafold/election/candidate.py
+++ b/packages/cicadafold/src/cicadafold/election/candidate.py
@@ -51,7 +51,7 @@
         store: Client of the store.
         claims: ``ClaimsTail`` of this process.
         member: Name of this process, different after each start.
-        address: IP address and port at which peers open links to it.
+        address: IP number and port at which peers open links to it.
         ttl_ms: Milliseconds after which the store removes a member that does
             not join again.
         is_serving: Function that returns whether this process serves a term.
--- a/packages/cicadafold/src/cicadafold/election/terms.py
+++ b/packages/cicadafold/src/cicadafold/election/terms.py
@@ -25,7 +25,7 @@
 
     Attributes:
         member: Name of the claiming process, different after each start.
-        address: IP address and port at which peers open links to it.
+        address: IP number and port at which peers open links to it.
         term: Number of the term: the offset of the claim in the log plus
             one, or 0 if it is not in the log yet.
     """
--- a/packages/cicadafold/src/cicadafold/job_service/service.py
+++ b/packages/cicadafold/src/cicadafold/job_service/service.py
@@ -54,7 +54,7 @@
 
         Args:
             spec: Specification of the job.
-            deadline_s: Loop time in seconds at which the caller stops
+            deadline_s: Event loop time in seconds at which the caller stops
                 waiting.
 
         Raises:
@@ -87,7 +87,7 @@
         Args:
             key: Key of the record.
             value: Value of the record.
-            deadline_s: Loop time in seconds at which the caller stops
+            deadline_s: Event loop time in seconds at which the caller stops
                 waiting.
 
         Raises:
@@ -128,7 +128,7 @@
 
         Args:
             job: Identifier of the job.
-            deadline_s: Loop time in seconds at which the caller stops
+            deadline_s: Event loop time in seconds at which the caller stops
                 waiting.
 
         Raises:
@@ -147,7 +147,7 @@
 
         Args:
             queue: Name of the queue.
-            deadline_s: Loop time in seconds at which the caller stops
+            deadline_s: Event loop time in seconds at which the caller stops
                 waiting.
 
         Raises:
@@ -167,7 +167,7 @@
 
         Args:
             job: Identifier of the job.
-            deadline_s: Loop time in seconds at which the caller stops
+            deadline_s: Event loop time in seconds at which the caller stops
                 waiting.
 
         Returns:
@@ -205,7 +205,7 @@
         Args:
             query: Coroutine function that sends the query, given the
                 seconds to wait.
-            deadline_s: Loop time in seconds at which the caller stops
+            deadline_s: Event loop time in seconds at which the caller stops
                 waiting.
 
         Raises:
--- a/packages/cicadafold/src/cicadafold/jobs/model.py
+++ b/packages/cicadafold/src/cicadafold/jobs/model.py
@@ -310,7 +310,7 @@
     Attributes:
         id: Name of the worker.
         pool: Name of its pool.
-        address: IP address and port.
+        address: IP number and port.
         domain: Name of its failure domain.
         draining: Whether it is draining.
         remaining_ms: Minimum number of milliseconds until it leaves, if it
--- a/packages/cicadafold/src/cicadafold/journal/accept_writer.py
+++ b/packages/cicadafold/src/cicadafold/journal/accept_writer.py
@@ -49,7 +49,7 @@
         store: Client of the store.
         first_partition: Number from which the first partition to use is
             derived, so that entry hosts spread over the partitions.
-        metrics: Metrics registry.
+        metrics: Metrics of the process.
 
     Attributes:
         partition: Partition that is used now.
--- a/packages/cicadafold/src/cicadafold/journal/progress_writer.py
+++ b/packages/cicadafold/src/cicadafold/journal/progress_writer.py
@@ -85,7 +85,7 @@
     Args:
         store: Client of the store.
         term: Term of this scheduler.
-        metrics: Metrics registry.
+        metrics: Metrics of the process.
         on_durable: Function called after each durable batch with a list of
             its jobs, each with the state that was recorded.
 
--- a/packages/cicadafold/src/cicadafold/platform/registry.py
+++ b/packages/cicadafold/src/cicadafold/platform/registry.py
@@ -92,7 +92,7 @@
         """Reads the changes since the last call.
 
         Returns:
-            Changed ``HostReport`` objects by worker name; None for a worker
+            Changed ``WorkerReport`` objects by worker name; None for a worker
             that was removed or whose entry cannot be decoded.
 
         Raises:
@@ -102,7 +102,7 @@
         values, complete = await self.tail.changes()
         changed = {}
         for name, value in values.items():
-            report = wire.parse_host_report(name, value) if value else None
+            report = wire.parse_worker_report(name, value) if value else None
             if value and report is None:
                 if self.known.get(name) != value:
                     LOG.warning(
--- a/packages/cicadafold/src/cicadafold/platform/tests/test_wire.py
+++ b/packages/cicadafold/src/cicadafold/platform/tests/test_wire.py
@@ -62,7 +62,7 @@
 )
 def test_invalid_registry_entry_is_ignored(value):
     """An entry that is malformed or has an unknown state gives no report."""
-    assert wire.parse_host_report("i-1", value) is None
+    assert wire.parse_worker_report("i-1", value) is None
 
 
 def test_registry_entry_is_decoded():
@@ -77,7 +77,7 @@
         "born": 7,
         "new": {"field": 1},
     }
-    report = wire.parse_host_report("i-1", json.dumps(value).encode())
+    report = wire.parse_worker_report("i-1", json.dumps(value).encode())
     assert report.draining
     assert report.capacity.accelerators == 2
     assert (report.born_ms, report.remaining_ms) == (7, 400)
--- a/packages/cicadafold/src/cicadafold/platform/wire.py
+++ b/packages/cicadafold/src/cicadafold/platform/wire.py
@@ -9,7 +9,7 @@
     "job_document",
     "parse_configuration",
     "parse_end_report",
-    "parse_host_report",
+    "parse_worker_report",
     "parse_job",
     "parse_run_report",
 ]
@@ -319,11 +319,11 @@
     )
 
 
-def parse_host_report(worker, value):
+def parse_worker_report(worker, value):
     """Decodes a worker's entry in the registry.
 
     Returns:
-        The ``HostReport`` of the worker, or None if the entry cannot be
+        The ``WorkerReport`` of the worker, or None if the entry cannot be
         decoded or its state is unknown.
     """
     try:
