--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -58,7 +58,7 @@
         term: ``Term`` that the process serves, or None.
         term_task: Task that serves the last term, or None.
         peers: ``PeerHandle`` of each peer by its open ``PeerLink``.
-        own_handle: The same for this process.
+        own_handle: ``PeerHandle`` of this process.
     """
 
     def __init__(self, *, settings, make_session=None):
@@ -269,7 +269,7 @@
         self.address_broadcaster.schedule()
 
     async def serve_peer(self, request):
-        """Handles the HTTP request of a peer that opens a link."""
+        """Serves the link that a peer opens with an HTTP request."""
         socket = web.WebSocketResponse(
             heartbeat=PEER_HEARTBEAT_S, max_msg_size=MAX_MESSAGE_BYTES
         )
