--- a/packages/cicadafold/src/cicadafold/service/caller_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/caller_calls.py
@@ -22,7 +22,7 @@
 ANSWER_TIMEOUT_S = 30.0
 PEER_TIMEOUT_S = 1.0
 CATCH_UP_TIMEOUT_S = 1.0
-MICROSECONDS_PER_S = 1_000_000
+US_PER_S = 1_000_000
 
 SUBMIT_DECODER = msgspec.json.Decoder(messages.SubmitRequest)
 EXPLANATION_DECODER = msgspec.json.Decoder(messages.Explanation)
@@ -107,9 +107,7 @@
     """
     metrics = node.metrics
     metrics.count("answers", kind=kind.name, outcome=answer.outcome.value)
-    metrics.record_us(
-        "answer_time", elapsed_s * MICROSECONDS_PER_S, kind=kind.name
-    )
+    metrics.record_us("answer_time", elapsed_s * US_PER_S, kind=kind.name)
     if answer.decision_us:
         metrics.record_us("decision", answer.decision_us, kind=kind.name)
     metrics.record_us("waiting", answer.waited_us, kind=kind.name)
