--- a/packages/cicadafold-standins/src/cicadafold_standins/log_service.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/log_service.py
@@ -19,7 +19,7 @@
 __all__ = ["Faults", "LogService", "Stream"]
 
 MAX_ENTRIES_PER_READ = 2000
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 
 class Faults(msgspec.Struct, kw_only=True):
@@ -36,7 +36,7 @@
     def __init__(self):
         self.entries = collections.deque()
         self.next_offset = 1
-        self.changed = asyncio.Event()
+        self.appended = asyncio.Event()
 
     @property
     def oldest(self):
@@ -47,18 +47,18 @@
         """Appends an entry and returns its offset."""
         entry = messages.LogEntry(
             offset=self.next_offset,
-            at_ms=int(time.time() * MILLISECONDS),
+            at_ms=int(time.time() * MS_PER_S),
             body=msgspec.Raw(body),
         )
         self.entries.append(entry)
         self.next_offset += 1
-        self.changed.set()
-        self.changed = asyncio.Event()
+        self.appended.set()
+        self.appended = asyncio.Event()
         return entry.offset
 
     def expire(self, *, retention_s):
         """Drops the entries that are older than the retention."""
-        limit = int((time.time() - retention_s) * MILLISECONDS)
+        limit = int((time.time() - retention_s) * MS_PER_S)
         while self.entries and self.entries[0].at_ms < limit:
             self.entries.popleft()
 
@@ -71,7 +71,7 @@
             entries=found,
             oldest=self.oldest,
             next_offset=self.next_offset,
-            now_ms=int(time.time() * MILLISECONDS),
+            now_ms=int(time.time() * MS_PER_S),
         )
 
 
@@ -83,25 +83,25 @@
         self.max_appends_per_s = max_appends_per_s
         self.streams = collections.defaultdict(Stream)
         self.faults = Faults()
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
         self.appends = 0
         self.append_bytes = 0
-        self.second = 0
+        self.current_second = 0
         self.appends_in_second = 0
         self.peak_appends_per_s = 0
 
-    async def admit(self):
+    async def apply_faults(self):
         """Applies the faults that hold for every call."""
         if self.faults.slow_ms:
-            await asyncio.sleep(self.faults.slow_ms / MILLISECONDS)
+            await asyncio.sleep(self.faults.slow_ms / MS_PER_S)
         if self.faults.down:
             raise web.HTTPServiceUnavailable(text="log service is down")
 
     def count_append(self, size):
         """Counts an append against the rate limit."""
         second = int(time.monotonic())
-        if second != self.second:
-            self.second = second
+        if second != self.current_second:
+            self.current_second = second
             self.appends_in_second = 0
         if self.appends_in_second >= self.max_appends_per_s:
             raise web.HTTPTooManyRequests(text="append rate exceeded")
@@ -115,28 +115,28 @@
     async def append(self, request):
         """Appends the body as one entry."""
         body = await request.read()
-        await self.admit()
+        await self.apply_faults()
         self.count_append(len(body))
         stream = self.streams[request.match_info["stream"]]
         offset = stream.append(body)
-        if self.random.random() < self.faults.lose_answers:
+        if self.rng.random() < self.faults.lose_answers:
             request.transport.abort()
         return serving.json_response(messages.AppendReply(offset=offset))
 
     async def read(self, request):
         """Reads entries; waits for the first one if asked to."""
-        await self.admit()
+        await self.apply_faults()
         start = int(request.query["from"])
-        wait_s = int(request.query.get("wait_ms", 0)) / MILLISECONDS
+        wait_s = int(request.query.get("wait_ms", 0)) / MS_PER_S
         stream = self.streams[request.match_info["stream"]]
         stream.expire(retention_s=self.retention_s)
         if start >= stream.next_offset and wait_s:
             try:
                 async with asyncio.timeout(wait_s):
-                    await stream.changed.wait()
+                    await stream.appended.wait()
             except TimeoutError:
                 pass
-            await self.admit()
+            await self.apply_faults()
         return serving.json_response(stream.read(start))
 
     async def set_faults(self, request):
--- a/packages/cicadafold-standins/src/cicadafold_standins/worker.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/worker.py
@@ -32,7 +32,7 @@
 DEFAULT_RUN_MS = 5
 LEASE_CHECK_S = 0.02
 RETAIN_ENDED_S = 120.0
-MILLISECONDS = 1000
+MS_PER_S = 1000
 LIVE_OR_DONE = (messages.TaskState.RUNNING, messages.TaskState.DONE)
 
 
@@ -81,7 +81,7 @@
         self.output = open(path, "ab", buffering=0) if path else None
         self.serial = 0
 
-    def begin(self, task_id, **marks):
+    def record_start(self, task_id, **marks):
         """Records a start and returns its record."""
         self.serial += 1
         record = RunRecord(
@@ -176,7 +176,7 @@
 
     def now_ms(self):
         """The worker's clock in milliseconds."""
-        return int((time.monotonic() - self.booted_s) * MILLISECONDS)
+        return int((time.monotonic() - self.booted_s) * MS_PER_S)
 
     def reply(self, tasks):
         """Builds a reply with the worker's clock."""
@@ -212,19 +212,19 @@
             return messages.RefusalCode.EXPIRED
         known = self.tasks.get(start.task_id)
         if known is not None and known.state in LIVE_OR_DONE:
-            self.recorder.begin(start.task_id, given_twice=True)
+            self.recorder.record_start(start.task_id, given_twice=True)
             return messages.RefusalCode.KNOWN
         return None
 
     def is_overfilled_by(self, start):
         """Whether the worker cannot hold another task."""
-        held = [task.start for task in self.running.values()]
+        running = [task.start for task in self.running.values()]
         return (
-            len(held) + 1 > self.slots
-            or sum(s.cores for s in held) + start.cores > self.cores + 1e-6
-            or sum(s.memory_mb for s in held) + start.memory_mb
+            len(running) + 1 > self.slots
+            or sum(s.cores for s in running) + start.cores > self.cores + 1e-6
+            or sum(s.memory_mb for s in running) + start.memory_mb
             > self.memory_mb
-            or sum(s.accelerators for s in held) + start.accelerators
+            or sum(s.accelerators for s in running) + start.accelerators
             > self.accelerators
         )
 
@@ -234,7 +234,7 @@
         refusal = self.check_start(start)
         if refusal is not None:
             return self.refuse(refusal)
-        record = self.recorder.begin(
+        record = self.recorder.record_start(
             start.task_id,
             overfill=self.is_overfilled_by(start),
             leaving=self.faults.leaving,
@@ -244,9 +244,7 @@
         self.tasks[start.task_id] = task
         self.running[start.task_id] = task
         loop = asyncio.get_running_loop()
-        loop.call_later(
-            task.behaviour.run_ms / MILLISECONDS, self.finish, task
-        )
+        loop.call_later(task.behaviour.run_ms / MS_PER_S, self.finish, task)
         await task.ended.wait()
         return self.reply([task])
 
@@ -269,7 +267,7 @@
         task.record.state = state
         ended_s = time.monotonic()
         if state is messages.TaskState.LAPSED:
-            lapsed_s = self.booted_s + task.lease_until_ms / MILLISECONDS
+            lapsed_s = self.booted_s + task.lease_until_ms / MS_PER_S
             ended_s = min(ended_s, lapsed_s)
         task.record.ended_s = ended_s
         self.recorder.write(task.record)
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -13,7 +13,7 @@
 Result = worker_client.CommandResult
 State = runs.RunState
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 # A worker holds a renewal for at most this time before it answers, and
 # answers at once when a task ends.
 RENEW_WAIT_MS = 700
@@ -28,7 +28,7 @@
 # Shortest time between two reports of progress from which a speed is
 # computed.
 MIN_MEASURED_MS = 150.0
-WHOLE_PERCENT = 100.0
+FULL_PERCENT = 100.0
 STOP_PAUSE_S = 0.1
 # New job records, which a deferred end waits for, are read a few times per
 # second.
@@ -67,14 +67,8 @@
     Args:
         worker: State of the worker.
         client: Client of the worker.
-        lease: Durations of leases.
-        events: Handler of what the link observes, with the methods
-            ``on_end(worker, end, run)``,
-            ``on_unexpected_run(worker, row)``,
-            ``on_run_gone(worker, run, reason)``, ``on_silent(worker)``,
-            ``on_answering(worker)``, ``on_capacity_changed()``,
-            ``on_fenced(worker)``, ``expected_ms(run)`` and
-            ``spawn(coroutine)``.
+        lease: ``LeaseTimes`` of the term.
+        events: ``WorkerEventHandler`` that the link reports to.
         journal: Writer of progress, whose ``durable_batch`` is the number of
             the newest batch of records that is durable.
 
@@ -138,7 +132,7 @@
 
         Args:
             wait: Whether to extend the lease and let the worker hold the
-                call until a task ends; false only asks for the inventory.
+                call until a task ends; False only asks for the inventory.
 
         Raises:
             TargetUnreachable: The worker has not answered, or has refused
@@ -159,7 +153,7 @@
             acknowledged=acknowledged,
             deadline_ms=deadline_ms,
             wait_ms=wait_ms,
-            timeout_s=wait_ms / MILLISECONDS + ANSWER_SLACK_S,
+            timeout_s=wait_ms / MS_PER_S + ANSWER_SLACK_S,
         )
         if isinstance(answer, Result):
             self.on_renewal_refused(answer)
@@ -184,10 +178,10 @@
         return worker.acknowledged
 
     def on_renewal_refused(self, result):
-        """Handles a renewal that the worker has refused.
+        """Closes the link if the fence of a later term refused the renewal.
 
         Raises:
-            TargetUnreachable: The reason is not the fence of a later term.
+            TargetUnreachable: The worker refused for another reason.
         """
         if result is Result.FENCED:
             self.events.on_fenced(self.worker)
@@ -222,13 +216,7 @@
             self.events.on_capacity_changed()
 
     def on_inventory(self, inventory, sent_ms):
-        """Applies an inventory of the worker.
-
-        Args:
-            found: The inventory.
-            sent_ms: Monotonic time, in milliseconds, at which it was
-                requested.
-        """
+        """Applies an inventory that was requested at ``sent_ms``."""
         worker = self.worker
         now_ms = clock.monotonic_ms()
         if worker.silent_since_ms is not None:
@@ -253,13 +241,12 @@
         self.events.on_capacity_changed()
 
     def on_new_incarnation(self, inventory, listed, sent_ms):
-        """Handles that the worker has restarted.
+        """Handles a restart of the worker.
 
         Args:
-            found: First inventory of the new incarnation.
+            inventory: First inventory of the new incarnation.
             listed: Task names and attempts in the inventory.
-            sent_ms: Monotonic time, in milliseconds, at which the inventory
-                was requested.
+            sent_ms: Monotonic time of its request, in milliseconds.
         """
         worker = self.worker
         LOG.warning(
@@ -275,7 +262,7 @@
         for run in list(worker.runs.values()):
             answered = run.answered_ms is not None
             if run.key in listed or (answered and run.answered_ms >= sent_ms):
-                # The new incarnation may run it; the next inventory tells.
+                # The new incarnation may run it; the next inventory shows it.
                 continue
             # A late start command may still reach the new incarnation, which
             # does not know of stops that the old one has answered.
@@ -290,8 +277,8 @@
         """Applies an end of an inventory, unless it was applied before.
 
         Returns:
-            Whether the end has been applied. If not, the next inventory
-            lists it and all later ones again.
+            Whether it has been applied; if not, the next inventory lists it
+            and all later ones again.
         """
         worker = self.worker
         if end.number <= worker.handled_end:
@@ -309,12 +296,7 @@
         return True
 
     def apply_progress(self, rows, now_ms):
-        """Applies the progress of the running tasks of an inventory.
-
-        Args:
-            rows: Running tasks.
-            now_ms: Monotonic time, in milliseconds.
-        """
+        """Applies the progress of the running tasks of an inventory."""
         for row in rows:
             run = self.worker.runs.get((row.name, row.attempt))
             if run is None:
@@ -338,23 +320,18 @@
 
         The speed is the progress since the last measurement, divided by the
         progress expected in that time.
-
-        Args:
-            run: The run attempt.
-            row: Its entry in the inventory.
-            now_ms: Monotonic time, in milliseconds.
         """
         previous_ms, previous = run.rate_measured_ms, run.percent
         if previous_ms is not None and now_ms - previous_ms < MIN_MEASURED_MS:
             return
         run.rate_measured_ms = now_ms
-        if previous_ms is None or row.percent >= WHOLE_PERCENT:
+        if previous_ms is None or row.percent >= FULL_PERCENT:
             return
         expected_ms = self.events.expected_ms(run)
         # Members of a gang wait for each other, so their progress does not
         # show the speed of the worker.
         if expected_ms is not None and not run.task.step.spec.gang:
-            gained = (row.percent - previous) / WHOLE_PERCENT
+            gained = (row.percent - previous) / FULL_PERCENT
             rate = gained * expected_ms / (now_ms - previous_ms)
             self.worker.speed_meter.record_rate(run.name.job, rate, now_ms)
 
@@ -362,12 +339,7 @@
         """Removes the run attempts that the worker no longer lists.
 
         Only those are removed whose start or stop the worker had answered
-        before the inventory was requested.
-
-        Args:
-            listed: Task names and attempts in the inventory.
-            sent_ms: Monotonic time, in milliseconds, at which the inventory
-                was requested.
+        before ``sent_ms``, the time at which the inventory was requested.
         """
         for run in list(self.worker.runs.values()):
             if run.key in listed:
@@ -387,10 +359,6 @@
     async def start(self, run, command):
         """Sends a start command and applies its result.
 
-        Args:
-            run: Run attempt to start.
-            command: Start command.
-
         Returns:
             Result of the command; None if it was not answered.
         """
@@ -431,10 +399,6 @@
         If the command was sent, the worker may still carry it out, so the
         resources stay reserved and the run attempt is stopped. Otherwise the
         run attempt is removed.
-
-        Args:
-            run: Run attempt of the command.
-            error: Why there is no answer.
         """
         if not error.sent and run.state is State.STARTING:
             self.events.on_run_gone(self.worker, run, "unreachable")
@@ -463,11 +427,7 @@
             run.stop_in_progress = False
 
     async def send_stop(self, run):
-        """Sends one stop command.
-
-        Returns:
-            Whether no further stop command is needed.
-        """
+        """Sends one stop command; returns whether no further one is needed."""
         if run.state is State.STARTING:
             # The start command is still in flight; once it is answered or
             # has timed out, the state changes.
--- a/packages/cicadafold/src/cicadafold/job_service/service.py
+++ b/packages/cicadafold/src/cicadafold/job_service/service.py
@@ -11,7 +11,7 @@
 
 __all__ = ["JobService"]
 
-MILLISECONDS = 1000.0
+US_PER_MS = 1000.0
 # Accepted jobs that are remembered, as the scheduler may not know them yet.
 REMEMBERED_JOBS = 2000
 RETRY_PAUSE_S = 0.05
@@ -54,7 +54,7 @@
 
         Args:
             spec: Specification of the job.
-            deadline_s: Loop time in seconds at which the caller stops
+            deadline_s: Event loop time in seconds at which the caller stops
                 waiting.
 
         Raises:
@@ -67,9 +67,7 @@
         self.remember_accepted(spec.id)
         await self.scheduler.notify_accepted(spec)
         took_ms = clock.monotonic_ms() - started_ms
-        self.metrics.record_us(
-            "accept", took_ms * MILLISECONDS, queue=spec.queue
-        )
+        self.metrics.record_us("accept", took_ms * US_PER_MS, queue=spec.queue)
         LOG.info(
             "A job was accepted.",
             fields={
@@ -89,7 +87,7 @@
         Args:
             key: Key of the record.
             value: Value of the record.
-            deadline_s: Loop time in seconds at which the caller stops
+            deadline_s: Event loop time in seconds at which the caller stops
                 waiting.
 
         Raises:
@@ -130,7 +128,7 @@
 
         Args:
             job: Identifier of the job.
-            deadline_s: Loop time in seconds at which the caller stops
+            deadline_s: Event loop time in seconds at which the caller stops
                 waiting.
 
         Raises:
@@ -149,7 +147,7 @@
 
         Args:
             queue: Name of the queue.
-            deadline_s: Loop time in seconds at which the caller stops
+            deadline_s: Event loop time in seconds at which the caller stops
                 waiting.
 
         Raises:
@@ -169,7 +167,7 @@
 
         Args:
             job: Identifier of the job.
-            deadline_s: Loop time in seconds at which the caller stops
+            deadline_s: Event loop time in seconds at which the caller stops
                 waiting.
 
         Returns:
@@ -207,7 +205,7 @@
         Args:
             query: Coroutine function that sends the query, given the
                 seconds to wait.
-            deadline_s: Loop time in seconds at which the caller stops
+            deadline_s: Event loop time in seconds at which the caller stops
                 waiting.
 
         Raises:
--- a/packages/cicadafold/src/cicadafold/jobs/model.py
+++ b/packages/cicadafold/src/cicadafold/jobs/model.py
@@ -10,7 +10,7 @@
     "Configuration",
     "EndReport",
     "EndKind",
-    "HostReport",
+    "WorkerReport",
     "JobId",
     "JobSpec",
     "JobState",
@@ -278,9 +278,9 @@
 
     Attributes:
         name: Name of the pool.
-        guards_room: Whether its workers reject a start that exceeds their
-            free capacity.
-        standby: Whether its hosts are switched off.
+        guards_room: Whether its workers have an admission check, which
+            rejects a start that exceeds their free capacity.
+        standby: Whether its workers are switched off.
     """
 
     name: str
@@ -304,13 +304,13 @@
     max_body_bytes: int
 
 
-class HostReport(msgspec.Struct, frozen=True):
-    """Entry of a worker in the platform's registry.
+class WorkerReport(msgspec.Struct, frozen=True):
+    """Report of a worker in the platform's registry.
 
     Attributes:
         id: Name of the worker.
         pool: Name of its pool.
-        address: IP address and port.
+        address: IP number and port.
         domain: Name of its failure domain.
         draining: Whether it is draining.
         remaining_ms: Minimum number of milliseconds until it leaves, if it
--- a/packages/cicadafold/src/cicadafold/platform/job_server.py
+++ b/packages/cicadafold/src/cicadafold/platform/job_server.py
@@ -20,7 +20,7 @@
 ANSWER_MARGIN_S = 0.15
 # Limit for queries of state, which callers repeat after a failure.
 QUERY_TIMEOUT_S = 1.5
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 RETRY_AFTER_S = "1"
 JOB_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
 MAX_BODY_BYTES = 4 << 20
@@ -50,7 +50,7 @@
         try:
             answer = await self.route(request)
         except exception.CicadafoldError as error:
-            answer = refusal(error)
+            answer = error_response(error)
         except ValueError as error:
             answer = web.json_response({"error": str(error)}, status=400)
         self.metrics.count(
@@ -168,7 +168,7 @@
     except ValueError:
         timeout_ms = DEFAULT_TIMEOUT_MS
     loop = asyncio.get_running_loop()
-    return loop.time() + max(0.1, timeout_ms / MILLISECONDS - ANSWER_MARGIN_S)
+    return loop.time() + max(0.1, timeout_ms / MS_PER_S - ANSWER_MARGIN_S)
 
 
 def query_deadline(request):
@@ -177,12 +177,12 @@
     return min(request_deadline(request), loop.time() + QUERY_TIMEOUT_S)
 
 
-def refusal(error):
+def error_response(error):
     """Returns the HTTP response for a call that failed."""
     headers = {}
     if error.status in (429, 503):
-        wait_ms = error.retry_after_ms or MILLISECONDS
-        headers["Retry-After"] = str(max(1, round(wait_ms / MILLISECONDS)))
+        wait_ms = error.retry_after_ms or MS_PER_S
+        headers["Retry-After"] = str(max(1, round(wait_ms / MS_PER_S)))
     return web.Response(
         status=error.status,
         text=json.dumps({"error": str(error)}),
--- a/packages/cicadafold/src/cicadafold/service/caller_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/caller_calls.py
@@ -22,7 +22,7 @@
 ANSWER_TIMEOUT_S = 30.0
 PEER_TIMEOUT_S = 1.0
 CATCH_UP_TIMEOUT_S = 1.0
-MICROSECONDS_PER_S = 1_000_000
+US_PER_S = 1_000_000
 
 SUBMIT_DECODER = msgspec.json.Decoder(messages.SubmitRequest)
 EXPLANATION_DECODER = msgspec.json.Decoder(messages.Explanation)
@@ -38,12 +38,12 @@
         raise exception.Starting(
             message="This entry host is starting.",
             remedy="Make the call again after retry_after_ms.",
-            retry_after_ms=clock.MILLISECONDS,
+            retry_after_ms=clock.MS_PER_S,
         )
 
 
 def require_kind_and_team(node, submit):
-    """Returns the configured kind of a request.
+    """Checks the kind and the team of a request, and returns the kind.
 
     Args:
         node: This process.
@@ -89,8 +89,8 @@
         raise
     finally:
         elapsed_s = time.perf_counter() - start_s
-        in_time = elapsed_s * clock.MILLISECONDS <= kind.objective_ms
-        node.burn.count_answer(kind.name, good=good and in_time)
+        in_time = elapsed_s * clock.MS_PER_S <= kind.objective_ms
+        node.answer_counts.count_answer(kind.name, good=good and in_time)
     record_answer_metrics(node, kind, answer, elapsed_s)
     accepted = answer.outcome is messages.Outcome.accepted
     return codec.json_response(answer, status=202 if accepted else 200)
@@ -107,9 +107,7 @@
     """
     metrics = node.metrics
     metrics.count("answers", kind=kind.name, outcome=answer.outcome.value)
-    metrics.record_us(
-        "answer_time", elapsed_s * MICROSECONDS_PER_S, kind=kind.name
-    )
+    metrics.record_us("answer_time", elapsed_s * US_PER_S, kind=kind.name)
     if answer.decision_us:
         metrics.record_us("decision", answer.decision_us, kind=kind.name)
     metrics.record_us("waiting", answer.waited_us, kind=kind.name)
@@ -147,7 +145,7 @@
 async def recorded_entry(node, request_id):
     """Returns the entry of a recorded request.
 
-    If the replayed state has no entry, the control log is read to its end
+    If the control state has no entry, the control log is read to its end
     first, as another entry host may just have accepted the request.
 
     Raises:
@@ -181,7 +179,7 @@
         message="The control log did not answer, and this entry host has no "
         "record of the request.",
         remedy="Make the call again after retry_after_ms.",
-        retry_after_ms=clock.MILLISECONDS,
+        retry_after_ms=clock.MS_PER_S,
     )
 
 
@@ -215,7 +213,7 @@
     submit_request = messages.SubmitRequest(
         request_id=entry.request_id, kind=entry.kind, team=entry.team
     )
-    deadline_ms = clock.monotonic_ms() + ANSWER_TIMEOUT_S * clock.MILLISECONDS
+    deadline_ms = clock.monotonic_ms() + ANSWER_TIMEOUT_S * clock.MS_PER_S
     answer = await node.coordinator.wait_for_answer(
         submit_request, deadline_ms
     )
@@ -250,7 +248,7 @@
     raise exception.OutcomeUnknown(
         message="The owner of the request could not be reached.",
         remedy="Cancel it again after retry_after_ms.",
-        retry_after_ms=clock.MILLISECONDS,
+        retry_after_ms=clock.MS_PER_S,
     )
 
 
