--- a/packages/cicadafold/src/cicadafold/controllog/appender.py
+++ b/packages/cicadafold/src/cicadafold/controllog/appender.py
@@ -149,7 +149,7 @@
             if pending.retry_refused:
                 retried.append(pending)
             elif pending.maybe_appended:
-                fail(pending, unconfirmed_append())
+                fail(pending, unconfirmed_append_error())
             else:
                 fail(pending, error)
         self.requeue(retried)
@@ -201,7 +201,7 @@
         pending.future.set_exception(error)
 
 
-def unconfirmed_append():
+def unconfirmed_append_error():
     """Returns the error for a record that may be on the log."""
     return exception.LinkLost(
         message="The control log did not confirm an append.",
--- a/packages/cicadafold/src/cicadafold/ownership/rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack.py
@@ -75,7 +75,7 @@
         self.queue = request_queue.RequestQueue()
         self.links = {}
         self.link_tasks = {}
-        self.recovered = recovered_tasks.RecoveredTasks(rack=self)
+        self.recovered = recovered_tasks.RecoveredTasks(owner=self)
         self.retired = False
         self.started_ms = clock.monotonic_ms()
         self.mean_run_ms = collections.defaultdict(float)
@@ -118,7 +118,7 @@
             host=host,
             client=self.node.target_client(host.address),
             term=self.term,
-            rack=self,
+            owner=self,
         )
         self.links[host.name] = link
         self.link_tasks[host.name] = asyncio.create_task(link.run())
@@ -177,7 +177,7 @@
         admitted, unless an earlier dispatch may have started them: these are
         resolved by the inventories first.
         """
-        began_s = time.perf_counter()
+        start_s = time.perf_counter()
         responder = (frame.serial, send)
         if self.retired:
             send(frames.Reply(serial=frame.serial, status=Status.MOVED))
@@ -206,7 +206,7 @@
             self.resolve_requests()
         else:
             admission.admit(self, request, hops=frame.hops)
-            own_us = (time.perf_counter() - began_s) * US_PER_S
+            own_us = (time.perf_counter() - start_s) * US_PER_S
             request.decision_us = int(frame.spent_us + own_us)
 
     def new_request(self, frame, kind, responder):
--- a/packages/cicadafold/src/cicadafold/ownership/recovered_tasks.py
+++ b/packages/cicadafold/src/cicadafold/ownership/recovered_tasks.py
@@ -18,7 +18,7 @@
     its request is not known before the coordinator dispatches it.
 
     Args:
-        rack: ``RackOwner`` of the rack.
+        owner: ``RackOwner`` of the rack.
 
     Attributes:
         running: Running tasks by identifier, for each request identifier.
@@ -26,8 +26,8 @@
             each request identifier.
     """
 
-    def __init__(self, *, rack):
-        self.rack = rack
+    def __init__(self, *, owner):
+        self.owner = owner
         self.running = {}
         self.ended = {}
 
@@ -39,7 +39,7 @@
             report: The worker's ``TaskReport``.
         """
         request_id = task_ids.request_id_of(report.task_id)
-        request = self.rack.requests.get(request_id)
+        request = self.owner.requests.get(request_id)
         if report.state is platform.TaskState.RUNNING:
             self.add_running(link, report, request)
         else:
@@ -59,7 +59,7 @@
         """
         task = link.track_running(
             report,
-            lease_ms=self.rack.node.longest_lease_ms(),
+            lease_ms=self.owner.node.longest_lease_ms(),
             on_end=self.on_end,
         )
         if request is not None and not self.is_waiting(request):
@@ -105,13 +105,13 @@
         request_id = task_ids.request_id_of(task.task_id)
         running = self.running.get(request_id, {})
         if running.pop(task.task_id, None) is None:
-            self.rack.on_task_end(task, end)
+            self.owner.on_task_end(task, end)
             return
         if not running:
             del self.running[request_id]
         ended = self.ended.setdefault(request_id, {})
         ended[task.task_id] = (task, end)
-        starting.dispatch_queued(self.rack)
+        starting.dispatch_queued(self.owner)
 
     def discard_closed(self):
         """Discards ended tasks whose recorded requests are not open.
@@ -121,7 +121,7 @@
         closed = [
             request_id
             for request_id in self.ended
-            if not self.rack.node.is_open(request_id)
+            if not self.owner.node.is_open(request_id)
         ]
         for request_id in closed:
             for task, _ in self.ended.pop(request_id).values():
@@ -137,7 +137,7 @@
         That is so, even if inventories are missing, if one of the tasks runs
         or if all of them have ended with a report.
         """
-        if self.running.get(request_id) or self.rack.all_inventoried():
+        if self.running.get(request_id) or self.owner.all_inventoried():
             return True
         ended = self.ended.get(request_id, {})
         return all(end.report is not None for _, end in ended.values())
@@ -161,13 +161,13 @@
         ended = self.ended.pop(request.request_id, {})
         if request.kind.lane is messages.Lane.patient:
             cores = sum(task.resources.cores for task in running.values())
-            self.rack.held_cores[request.team] += cores
+            self.owner.held_cores[request.team] += cores
         request.may_have_run = True
         request.state = rack_requests.RequestState.RUNNING
         request.tasks.update(running)
         request.ends.update(ended)
         for task in running.values():
-            task.on_end = self.rack.on_task_end
+            task.on_end = self.owner.on_task_end
         self.add_missing_tasks(request)
         return True
 
@@ -192,7 +192,7 @@
                     reason=rack_requests.EndReason.NOT_STARTED
                 )
                 request.ends[task_id] = (task, end)
-        completion.collect(self.rack, request)
+        completion.collect(self.owner, request)
 
 
 def end_of(report):
--- a/packages/cicadafold/src/cicadafold/ownership/target_link.py
+++ b/packages/cicadafold/src/cicadafold/ownership/target_link.py
@@ -56,7 +56,7 @@
         host: The worker, as the platform lists it.
         client: Client of the worker's target calls.
         term: Term of the owner.
-        rack: ``RackOwner`` of the rack.
+        owner: ``RackOwner`` of the rack.
 
     Attributes:
         inventoried: Whether the inventory was ever read in this term.
@@ -73,12 +73,12 @@
         quarantine_s: Seconds of the last quarantine, or 0 after a success.
     """
 
-    def __init__(self, *, host, client, term, rack):
+    def __init__(self, *, host, client, term, owner):
         self.host = host
         self.name = host.name
         self.client = client
         self.term = term
-        self.rack = rack
+        self.owner = owner
         self.state = LinkState.CONNECTING
         self.inventoried = False
         self.up_since_ms = 0.0
@@ -147,7 +147,7 @@
         self.apply_inventory(reply.tasks)
         self.inventoried = True
         self.state = LinkState.READY
-        self.rack.on_link_ready(self)
+        self.owner.on_link_ready(self)
         return True
 
     def apply_inventory(self, reports):
@@ -160,7 +160,7 @@
             self.capacity.reserve(task.resources)
         for report in reports:
             if report.task_id not in self.tasks:
-                self.rack.on_inventory(self, report)
+                self.owner.on_inventory(self, report)
 
     def track_running(self, report, *, lease_ms, on_end):
         """Tracks a running task of the inventory, whose lease is not known.
@@ -278,7 +278,7 @@
             return
         if report.state is messages.TaskState.RUNNING:
             task.unconfirmed = False
-            self.rack.on_running(task)
+            self.owner.on_running(task)
             return
         if report.state is messages.TaskState.LAPSED:
             end_task(task, rack_requests.EndReason.LAPSED)
@@ -313,7 +313,7 @@
         The heartbeats of one process to all its idle workers together are
         limited to ``IDLE_HEARTBEATS_PER_S``.
         """
-        limited_s = self.rack.node.count_links() / IDLE_HEARTBEATS_PER_S
+        limited_s = self.owner.node.count_links() / IDLE_HEARTBEATS_PER_S
         return max(IDLE_PERIOD_S, limited_s)
 
     def is_renewal_due(self):
@@ -433,7 +433,7 @@
         """Ends the link for good, as a newer owner has raised the fence."""
         if self.state is not LinkState.FENCED:
             self.state = LinkState.FENCED
-            self.rack.on_fenced(self)
+            self.owner.on_fenced(self)
 
     def record_result(self, request_id, *, failed):
         """Records a result of the worker; repeated failures quarantine it.
--- a/packages/cicadafold/src/cicadafold/platform/advice_client.py
+++ b/packages/cicadafold/src/cicadafold/platform/advice_client.py
@@ -64,15 +64,15 @@
             ) as answer:
                 body = await answer.read()
                 if answer.status != STATUS_OK:
-                    raise failed(f"status {answer.status}")
+                    raise no_answer_error(f"status {answer.status}")
                 return dict(decode(body).granted)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise failed(repr(error)) from error
+            raise no_answer_error(repr(error)) from error
         except msgspec.MsgspecError as error:
-            raise failed(repr(error)) from error
+            raise no_answer_error(repr(error)) from error
 
 
-def failed(reason):
+def no_answer_error(reason):
     """Returns the exception for a call without a valid answer."""
     return exception.TargetUnreachable(
         message=f"The advice service did not answer: {reason}.", sent=True
--- a/packages/cicadafold/src/cicadafold/platform/boot.py
+++ b/packages/cicadafold/src/cicadafold/platform/boot.py
@@ -38,12 +38,12 @@
         self.default = default
 
 
-def positive(value):
+def is_positive(value):
     """Whether a number is greater than zero."""
     return value > 0
 
 
-def optional_address(value):
+def is_optional_address(value):
     """Whether a text is empty or an IP number and a port."""
     return not value or table.is_address(value)
 
@@ -65,7 +65,7 @@
         name=name,
         path=path,
         type=float,
-        valid=positive,
+        valid=is_positive,
         remedy="Write a number greater than 0.",
         default=default,
     )
@@ -97,7 +97,7 @@
         name="advice_address",
         path="advice",
         type=str,
-        valid=optional_address,
+        valid=is_optional_address,
         remedy="Write an IP number and a port, or leave it out.",
         default="",
     ),
--- a/packages/cicadafold/src/cicadafold/platform/http_adapters.py
+++ b/packages/cicadafold/src/cicadafold/platform/http_adapters.py
@@ -50,10 +50,10 @@
                 self.url, data=body, timeout=timeout
             ) as reply:
                 if reply.status != STATUS_OK:
-                    raise refused_append(reply.status)
+                    raise append_refused_error(reply.status)
                 return decode_append(await reply.read()).offset
         except aiohttp.ClientConnectorError as error:
-            raise refused_append(error) from error
+            raise append_refused_error(error) from error
         except TRANSPORT_ERRORS as error:
             raise exception.LinkLost(
                 message=f"The log did not answer an append: {error!r}.",
@@ -71,13 +71,13 @@
                 self.url, params=parameters, timeout=timeout
             ) as reply:
                 if reply.status != STATUS_OK:
-                    raise unreadable_log(reply.status)
+                    raise log_unreadable_error(reply.status)
                 return decode_read(await reply.read())
         except TRANSPORT_ERRORS as error:
-            raise unreadable_log(repr(error)) from error
+            raise log_unreadable_error(repr(error)) from error
 
 
-def refused_append(reason):
+def append_refused_error(reason):
     """Returns the exception for an append that had no effect."""
     return exception.LogUnavailable(
         message=f"The log refused an append: {reason}.",
@@ -86,7 +86,7 @@
     )
 
 
-def unreadable_log(reason):
+def log_unreadable_error(reason):
     """Returns the exception for a read without a valid answer."""
     return exception.LogUnavailable(
         message=f"The log did not answer a read: {reason}.",
@@ -182,14 +182,14 @@
                     raise exception.TargetRefused(
                         refusal=decode_refusal(content)
                     )
-                raise unreachable(reply.status, sent=True)
+                raise unreachable_error(reply.status, sent=True)
         except aiohttp.ClientConnectorError as error:
-            raise unreachable(repr(error), sent=False) from error
+            raise unreachable_error(repr(error), sent=False) from error
         except (*TRANSPORT_ERRORS, msgspec.DecodeError) as error:
-            raise unreachable(repr(error), sent=True) from error
+            raise unreachable_error(repr(error), sent=True) from error
 
 
-def unreachable(reason, *, sent):
+def unreachable_error(reason, *, sent):
     """Returns the exception for a call without a valid reply."""
     return exception.TargetUnreachable(
         message=f"The target did not answer: {reason}.", sent=sent
--- a/packages/cicadafold/src/cicadafold/platform/log_store.py
+++ b/packages/cicadafold/src/cicadafold/platform/log_store.py
@@ -169,7 +169,7 @@
             raise exception.LogOutOfSequence(
                 expected=expected_sequence(answer)
             )
-        raise unexpected("append", status)
+        raise unexpected_status_error("append", status)
 
     async def read(
         self,
@@ -206,7 +206,7 @@
             return Page(end, [codec.decode_keyed(item) for item in found])
         if status == STATUS_GONE:
             raise exception.LogTrimmed()
-        raise unexpected("read", status)
+        raise unexpected_status_error("read", status)
 
     async def newest(self, topic, partition):
         """Reads the newest record of each key of a partition.
@@ -223,7 +223,9 @@
         while True:
             status, body = await self.call("GET", "log-newest", query=query)
             if status != STATUS_OK:
-                raise unexpected("read of the newest records", status)
+                raise unexpected_status_error(
+                    "read of the newest records", status
+                )
             answer = parse_object(body)
             # Pages are not a snapshot: read on from the first one's end.
             if resume is None:
@@ -248,7 +250,7 @@
             "POST", "log-join", message=message, timeout_s=JOIN_TIMEOUT_S
         )
         if status != STATUS_OK:
-            raise unexpected("join", status)
+            raise unexpected_status_error("join", status)
         answer = parse_object(body)
         rows = answer.get("parts") or []
         return Membership(
@@ -261,7 +263,7 @@
         message = {"group": group, "member": member}
         status, _ = await self.call("POST", "log-leave", message=message)
         if status != STATUS_OK:
-            raise unexpected("leave", status)
+            raise unexpected_status_error("leave", status)
 
     async def call(
         self,
@@ -302,7 +304,7 @@
             aiohttp.ConnectionTimeoutError,
         ) as error:
             self.record_failure(name, started_ms)
-            raise unavailable(name, repr(error)) from error
+            raise unavailable_error(name, repr(error)) from error
         except TRANSPORT_ERRORS as error:
             self.record_failure(name, started_ms)
             raise exception.LinkLost(
@@ -311,7 +313,7 @@
             ) from error
         if status in STATUS_REFUSED:
             self.record_failure(name, started_ms)
-            raise unavailable(name, f"status {status}")
+            raise unavailable_error(name, f"status {status}")
         self.last_served_ms = clock.monotonic_ms()
         return status, body
 
@@ -382,7 +384,7 @@
         return None
 
 
-def unavailable(name, reason):
+def unavailable_error(name, reason):
     """Returns the exception for a call that had no effect."""
     return exception.LogUnavailable(
         message=f"The store did not execute {name}: {reason}.",
@@ -390,7 +392,7 @@
     )
 
 
-def unexpected(operation, status):
+def unexpected_status_error(operation, status):
     """Returns the exception for a status that the API does not define."""
     return exception.LogUnavailable(
         message=f"The {operation} was answered with status {status}.",
--- a/packages/cicadafold/src/cicadafold/platform/worker_client.py
+++ b/packages/cicadafold/src/cicadafold/platform/worker_client.py
@@ -233,11 +233,11 @@
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
         ) as error:
-            raise self.unreachable(name, error, sent=False) from error
+            raise self.unreachable_error(name, error, sent=False) from error
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise self.unreachable(name, error, sent=True) from error
+            raise self.unreachable_error(name, error, sent=True) from error
 
-    def unreachable(self, name, error, *, sent):
+    def unreachable_error(self, name, error, *, sent):
         """Counts a call without an answer and returns its exception."""
         self.metrics.count("worker_failures", call=name)
         return exception.TargetUnreachable(
