--- a/packages/cicadafold-standins/src/cicadafold_standins/callers.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/callers.py
@@ -1,4 +1,4 @@
-"""Callers: open-loop load and their own record of every answer."""
+"""Callers that generate open-loop load and record every answer."""
 
 import asyncio
 import random
@@ -84,11 +84,16 @@
         self.prefix = f"{label}{region}-{seed}"
 
     async def close(self):
-        """Closes the connections."""
+        """Closes the HTTP session."""
         await self.session.close()
 
     async def generate_load(self, *, duration_s, scale=1.0):
-        """Offers the plan's load for a time, each kind on its own."""
+        """Generates the plan's load, independently for each kind.
+
+        Args:
+            duration_s: Duration in seconds.
+            scale: Factor applied to the plan's request rates.
+        """
         await asyncio.gather(
             *(
                 self.generate_kind(kind, load.rate_per_s * scale, duration_s)
@@ -97,7 +102,7 @@
         )
 
     async def generate_kind(self, kind, rate_per_s, duration_s):
-        """Starts requests of a kind at random times, open loop."""
+        """Starts requests of a kind as an open-loop Poisson process."""
         due_s = time.monotonic()
         end_s = due_s + duration_s
         while True:
@@ -108,7 +113,7 @@
             self.start_request(kind, due_s)
 
     def start_request(self, kind, due_s):
-        """Starts one request."""
+        """Starts one request with a random run time."""
         self.serial += 1
         low, high = self.plan.loads[kind].run_ms
         run_ms = round(self.rng.uniform(low, high), 1)
@@ -124,12 +129,16 @@
         task.add_done_callback(self.tasks.discard)
 
     async def wait_for_answers(self):
-        """Waits for the answers of all requests."""
+        """Waits until every started request has ended."""
         while self.tasks:
             await asyncio.wait(set(self.tasks))
 
     async def submit_until_final(self, record):
-        """Repeats one request until it has a final answer."""
+        """Submits a request until it has a final outcome or time runs out.
+
+        A request without a final outcome counts as not run if any attempt
+        was answered so.
+        """
         end_s = record.due_s + self.retry_window_s
         team = self.rng.choice(self.plan.teams).name
         while record.outcome is None and time.monotonic() < end_s:
@@ -142,7 +151,10 @@
             record.outcome = messages.Outcome.not_run
 
     async def submit_once(self, record, team):
-        """Makes one attempt and returns the pause before the next."""
+        """Submits a request once and returns the pause before the next try.
+
+        The pause is in seconds.
+        """
         asked = messages.SubmitRequest(
             request_id=record.request_id,
             kind=record.kind,
@@ -162,7 +174,7 @@
             return RETRY_PAUSE_S
 
     def record_reply(self, record, status, content):
-        """Notes an answer and returns the pause before another attempt."""
+        """Records a reply and returns the pause in seconds before a retry."""
         if status in (STATUS_DONE, STATUS_ACCEPTED):
             answer = ANSWER_DECODER.decode(content)
             if answer.outcome in FINAL:
@@ -182,10 +194,10 @@
         return min(MAX_RETRY_PAUSE_S, pause_ms / MS_PER_S)
 
     def is_final(self, record, error):
-        """Whether the caller gives up after an unknown outcome.
+        """Whether the outcome of an error is final for the caller.
 
-        A request of a kind that the plan knows as idempotent is repeated;
-        it may run again.
+        An unknown outcome is not final for an idempotent kind: the caller
+        submits the request again, because it may run twice.
         """
         if error.outcome is not messages.Outcome.unknown:
             return True
--- a/packages/cicadafold-standins/src/cicadafold_standins/cells.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/cells.py
@@ -1,4 +1,4 @@
-"""The two users' cells: layout, delays, kinds of work and load."""
+"""Plans of the cells of two users: delays, worker sizes, kinds and load."""
 
 from cicadafold_schema import messages
 import msgspec
@@ -14,11 +14,11 @@
 
 
 class KindLoad(msgspec.Struct, kw_only=True):
-    """How callers use a kind.
+    """Load that callers generate for a kind.
 
     Attributes:
-        rate_per_s: Requests a second over all callers.
-        run_ms: Least and greatest run time in milliseconds.
+        rate_per_s: Requests per second of all callers together.
+        run_ms: Minimum and maximum run time in milliseconds.
     """
 
     rate_per_s: float
@@ -26,12 +26,17 @@
 
 
 class CellPlan(msgspec.Struct, kw_only=True):
-    """A cell of one user.
+    """Plan of one user's cell.
 
     Attributes:
-        domain_delay_ms: One way between failure domains of a region.
-        region_delay_ms: One way between regions.
-        caller_delay_ms: One way between callers and entry hosts.
+        domain_delay_ms: One-way delay between failure domains of a region,
+            in milliseconds.
+        region_delay_ms: One-way delay between regions, in milliseconds.
+        caller_delay_ms: One-way delay between callers and entry hosts, in
+            milliseconds.
+        cores: Cores of each worker.
+        memory_mb: Memory of each worker in megabytes.
+        loads: Load by kind.
     """
 
     name: str
@@ -52,7 +57,7 @@
 
 
 def cell(name):
-    """Registers the function that returns a cell's plan."""
+    """Registers a function that returns a cell's plan under a name."""
 
     def register(function):
         CELLS[name] = function
--- a/packages/cicadafold-standins/src/cicadafold_standins/processes.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/processes.py
@@ -1,4 +1,4 @@
-"""Processes that a driver starts, and what they cost."""
+"""Child processes of a driver, their ports and their resource usage."""
 
 import asyncio
 import os
@@ -29,7 +29,13 @@
 
 
 class Process:
-    """One process that this driver started."""
+    """A child process of this driver.
+
+    Args:
+        name: Name of the process.
+        arguments: Command line.
+        log_path: File to which its output is appended.
+    """
 
     def __init__(self, *, name, arguments, log_path):
         self.name = name
@@ -38,7 +44,11 @@
         self.process = None
 
     async def start(self):
-        """Starts the process; one that was begun is always kept track of."""
+        """Starts the process.
+
+        A cancellation waits until the child exists, so that stop() can end
+        it.
+        """
         with open(self.log_path, "ab") as log:
             starting = asyncio.ensure_future(
                 asyncio.create_subprocess_exec(
@@ -57,7 +67,7 @@
         return self.process.pid
 
     def is_running(self):
-        """Whether the process has not ended."""
+        """Whether the process was started and has not ended."""
         return self.process is not None and self.process.returncode is None
 
     def signal(self, number):
@@ -66,7 +76,7 @@
             self.process.send_signal(number)
 
     async def stop(self):
-        """Ends the process, by force after a while."""
+        """Terminates the process, and kills it after ``STOP_TIMEOUT_S``."""
         if not self.is_running():
             return
         self.process.send_signal(signal.SIGCONT)
@@ -80,7 +90,13 @@
 
 
 class EntryHost(Process):
-    """An entry host."""
+    """Process of an entry host.
+
+    Attributes:
+        domain: Failure domain.
+        region: Region.
+        address: Address on which it listens.
+    """
 
     def __init__(self, *, domain, region, address, **rest):
         super().__init__(**rest)
@@ -90,7 +106,14 @@
 
 
 class WorkerProcess(Process):
-    """A worker; each of its runs writes a record of its own."""
+    """Process of a worker; each incarnation writes its own record file.
+
+    Attributes:
+        host: The worker as the platform's host list describes it.
+        record_paths: Record files of all incarnations, oldest first.
+        killed_s: Monotonic time in seconds at which an incarnation was
+            killed, by its record file.
+    """
 
     def __init__(self, *, host, folder, **rest):
         super().__init__(**rest)
@@ -102,7 +125,7 @@
         self.killed_s = {}
 
     async def start(self):
-        """Starts the worker with a new record."""
+        """Starts the worker with a new record file."""
         path = self.folder / f"{self.name}.{len(self.record_paths)}.jsonl"
         path.touch()
         self.record_paths.append(path)
@@ -110,13 +133,17 @@
         await super().start()
 
     async def kill(self):
-        """Kills the worker; what it ran has ended then."""
+        """Kills the worker and notes the time at which its tasks ended."""
         self.process.kill()
         await self.process.wait()
         self.killed_s[self.record_paths[-1]] = time.monotonic()
 
     def records(self):
-        """Returns the records of all runs of the worker."""
+        """Returns the run records of all incarnations of the worker.
+
+        A run attempt that was cut off by a kill ends at the time of the
+        kill.
+        """
         found = []
         for path in self.record_paths:
             killed_s = self.killed_s.get(path, 0.0)
@@ -128,7 +155,9 @@
 
 
 def run(main):
-    """Runs a driver; SIGTERM ends it and all that it has started.
+    """Runs the coroutine of a driver; SIGTERM cancels it.
+
+    The cancellation lets the driver stop the processes that it started.
 
     Args:
         main: Coroutine to run.
@@ -147,10 +176,10 @@
 
 
 class PortBlock:
-    """A block of ports that no other driver of this machine uses.
+    """A block of ports that no other driver on this machine uses.
 
-    The first port of the block is kept bound as a lock. The blocks lie
-    below the range from which the kernel takes ports by itself.
+    The first port of the block stays bound as a lock. The blocks lie below
+    the ephemeral port range of the kernel.
     """
 
     def __init__(self):
@@ -164,7 +193,10 @@
             self.next_port = first + 1
             self.end = first + PORTS_PER_BLOCK
             return
-        raise RuntimeError("No block of ports is free.")
+        raise RuntimeError(
+            f"All port blocks between {FIRST_PORT} and {LAST_PORT} are in use;"
+            " end other drivers on this machine."
+        )
 
     def address(self):
         """Returns an address with the next free port of the block."""
@@ -178,15 +210,18 @@
                 except OSError:
                     continue
             return f"{HOST}:{port}"
-        raise RuntimeError("The block of ports is used up.")
+        raise RuntimeError(
+            f"All {PORTS_PER_BLOCK} ports of the block are in use;"
+            " use a smaller layout."
+        )
 
     def close(self):
-        """Gives the block back."""
+        """Releases the block to other drivers."""
         self.lock.close()
 
 
 def cpu_seconds(pid):
-    """Returns the processor time of a process in seconds."""
+    """Returns the user and system CPU time of a process in seconds."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as source:
         fields = source.read().rpartition(")")[2].split()
     ticks = os.sysconf("SC_CLK_TCK")
--- a/packages/cicadafold-standins/src/cicadafold_standins/testcell.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/testcell.py
@@ -1,8 +1,9 @@
-"""Starts a whole cell as real processes on loopback, with faults.
+"""Runs a whole cell as real processes on the loopback interface.
 
-The cell has entry hosts, workers, the platform's stand-ins and one proxy
-that carries all traffic between failure domains, so that it can add
-delays, limit the link between regions, and cut or silence links.
+The cell consists of entry hosts, workers, stand-ins for the platform's log
+service and host list, and one proxy. All traffic between failure domains
+passes through the proxy, which adds delays, limits the bandwidth between
+regions, and resets or blackholes links to simulate network faults.
 """
 
 import asyncio
@@ -29,12 +30,16 @@
 
 
 class Layout(msgspec.Struct, kw_only=True):
-    """How many processes of each role a cell has.
+    """Number and location of the processes of a cell.
 
     Attributes:
-        entries: Entry hosts by failure domain.
-        racks: Workers by rack; each rack stands in one failure domain.
+        entries: Number of entry hosts by failure domain.
+        racks: Failure domain and number of workers by rack.
         regions: Region by failure domain.
+        proxied: Whether traffic between failure domains passes through
+            the proxy; without it, connections are direct and undelayed.
+        retention_s: Time for which the log service keeps entries, in
+            seconds.
     """
 
     entries: dict[str, int] = msgspec.field(
@@ -55,10 +60,24 @@
 
 
 class Cell:
-    """A running cell.
+    """A cell of real processes; an async context manager that runs them.
+
+    Args:
+        plan: Kinds, teams, delays and worker sizes of the cell.
+        layout: Number and location of the processes.
+        folder: Folder for settings, logs and records; a new temporary
+            folder by default.
+        daemon: Module that an entry host runs.
 
     Attributes:
-        callers: Address of the balancer by region.
+        entries: Entry hosts by name.
+        workers: Worker processes by name.
+        stand_ins: Processes of the log service, the host list and the
+            proxy.
+        balancers: Address of the balancer for callers, by region.
+        address_maps: For each failure domain, the proxy's address for
+            each address in another domain.
+        hosts: The workers as the platform's host list describes them.
     """
 
     def __init__(
@@ -88,7 +107,7 @@
     # Layout.
 
     def free_address(self):
-        """Returns an address with a free port."""
+        """Returns a loopback address with a free port."""
         return self.ports.address()
 
     def stand_in_command(self, module, *arguments):
@@ -98,7 +117,7 @@
         ]
 
     def assign_addresses(self):
-        """Gives every process its address, and the proxy its routes."""
+        """Assigns an address to every process and routes to the proxy."""
         domains = list(self.layout.regions)
         first = domains[0]
         self.log_address = self.free_address()
@@ -172,7 +191,13 @@
         return entry
 
     def add_route(self, source, domain, address):
-        """Routes one address through the proxy, as seen from a domain."""
+        """Routes an address through the proxy for processes of another domain.
+
+        Args:
+            source: Failure domain of the processes that connect.
+            domain: Failure domain of the address.
+            address: Address to connect to.
+        """
         if source == domain or not self.layout.proxied:
             return
         link = self.link_between(source, domain)
@@ -183,7 +208,7 @@
         self.address_maps[source][address] = listen
 
     def link_between(self, source, domain):
-        """Returns the name of the link from a domain to another."""
+        """Returns the name of the link between two domains; adds it if new."""
         name = f"{source}>{domain}"
         if name not in self.links:
             regions = self.layout.regions
@@ -201,14 +226,14 @@
         return name
 
     def add_pool(self, name, crosses):
-        """Adds the bandwidth of one direction."""
+        """Adds the bandwidth limit of one direction; 0 means no limit."""
         rate = cells.REGION_LINK_BITS_PER_S if crosses else 0
         self.pools[name] = proxy.PoolSettings(
             name=name, bandwidth_bits_per_s=rate
         )
 
     def add_balancer(self, region):
-        """Adds the balancer in front of a region's entry hosts."""
+        """Adds the balancer for callers of a region's entry hosts."""
         name = f"callers>{region}"
         self.add_pool("callers", False)
         self.links[name] = proxy.LinkSettings(
@@ -272,7 +297,8 @@
     async def apply_first_configuration(self):
         """Applies the first configuration.
 
-        The members of the naive scheduler do not tell each other.
+        The members of the naive scheduler do not replicate it, so that it
+        is applied to each of them.
         """
         entries = list(self.entries.values())
         if self.daemon == DAEMON_MODULE:
@@ -283,7 +309,7 @@
             )
 
     def stand_in_process(self, module, address, *arguments):
-        """Returns the process of a stand-in."""
+        """Returns the process of a stand-in that listens on an address."""
         return processes.Process(
             name=module,
             arguments=self.stand_in_command(
@@ -303,7 +329,7 @@
         )
 
     def write_files(self):
-        """Writes the settings of all processes."""
+        """Writes the settings of the proxy and entry hosts and the host list."""
         settings = proxy.ProxySettings(
             control=self.proxy_control_address,
             pools=list(self.pools.values()),
@@ -337,7 +363,7 @@
         path.write_text("\n".join(lines) + "\n", encoding="utf-8")
 
     async def stop(self):
-        """Ends all processes that were started."""
+        """Kills all processes that were started and frees the ports."""
         processes = [*self.entries.values(), *self.workers.values()]
         processes += self.stand_ins
         for process in processes:
@@ -353,19 +379,26 @@
     # Conditions.
 
     async def wait_for(self, condition, *, what, timeout_s=READY_TIMEOUT_S):
-        """Waits until a condition holds.
+        """Polls a condition until it holds.
+
+        Args:
+            condition: Coroutine function that returns whether it holds.
+            what: The condition in words, for the error message.
+            timeout_s: Time limit in seconds.
 
         Raises:
-            TimeoutError: The condition did not hold in time.
+            TimeoutError: The condition did not hold within the limit.
         """
         end_s = time.monotonic() + timeout_s
         while not await condition():
             if time.monotonic() > end_s:
-                raise TimeoutError(f"not in time: {what}; see {self.folder}")
+                raise TimeoutError(
+                    f"waited {timeout_s:g} s for: {what}; logs: {self.folder}"
+                )
             await asyncio.sleep(POLL_S)
 
     async def get(self, address, path):
-        """Returns the body of a page, or None without an answer."""
+        """Returns the body of a GET reply with status 200, or None."""
         try:
             url = f"http://{address}{path}"
             async with self.session.get(url) as reply:
@@ -374,14 +407,14 @@
             return None
 
     async def post(self, address, path, message):
-        """Posts a message and returns status and body."""
+        """Posts a message as JSON and returns the reply's status and body."""
         url = f"http://{address}{path}"
         body = msgspec.json.encode(message)
         async with self.session.post(url, data=body) as reply:
             return reply.status, await reply.read()
 
     async def wait_ready(self, entries):
-        """Waits until entry hosts answer that they are ready."""
+        """Waits until the health pages of entry hosts report ready."""
 
         async def all_ready():
             pages = [self.get(e.address, "/healthz") for e in entries]
@@ -390,14 +423,14 @@
         await self.wait_for(all_ready, what="entry hosts are ready")
 
     async def fetch_cell(self, entry):
-        """Returns the cell as an entry host sees it, or None."""
+        """Returns the cell's state as an entry host reports it, or None."""
         body = await self.get(entry.address, "/v1/cell")
         if body is None:
             return None
         return msgspec.json.decode(body, type=messages.Cell)
 
     async def wait_racks_owned(self):
-        """Waits until all racks have an owner whose workers are free."""
+        """Waits until every rack has an owner and a free slot."""
 
         async def all_owned():
             for entry in self.running_entry_hosts():
@@ -415,7 +448,7 @@
         return [e for e in self.entries.values() if e.is_running()]
 
     async def owner_of(self, rack):
-        """Returns the entry host that owns a rack."""
+        """Returns the entry host that owns a rack, or None if unknown."""
         for entry in self.running_entry_hosts():
             shown = await self.fetch_cell(entry)
             if shown is None:
@@ -428,7 +461,14 @@
     # Actions.
 
     async def apply(self, configuration, *, change_id, base=0, entry=None):
-        """Applies a configuration and returns status and body."""
+        """Submits a configuration change and returns status and body.
+
+        Args:
+            configuration: Configuration to apply.
+            change_id: Identifier of the change.
+            base: Revision that the change is based on.
+            entry: Entry host to call; the first running one by default.
+        """
         entry = entry or self.running_entry_hosts()[0]
         change = messages.ConfigurationChange(
             change_id=change_id,
@@ -439,7 +479,7 @@
         return await self.post(entry.address, "/v1/configuration", change)
 
     async def set_log_faults(self, **faults):
-        """Sets the faults of the log service."""
+        """Sets the faults of the log service; those not given are cleared."""
         await self.post(self.log_address, "/faults", faults)
 
     async def set_link_mode(self, prefix, mode):
@@ -448,13 +488,18 @@
         await self.post(self.proxy_control_address, "/faults", asked)
 
     async def publish_hosts(self, *, lag_s=0.5, hosts=None):
-        """Publishes a list of workers, the true one by default."""
+        """Publishes a host list, by default with all workers.
+
+        Args:
+            lag_s: Time until readers see the list, in seconds.
+            hosts: Workers to list instead.
+        """
         hosts = platform.HostList(hosts=hosts or self.hosts)
         path = f"/hosts?lag_s={lag_s}"
         await self.post(self.host_list_address, path, hosts)
 
     async def mark_leaving(self, name, *, lag_s=0.5):
-        """Shows a worker as leaving in the platform's list."""
+        """Marks a worker as leaving in the platform's host list."""
         for host in self.hosts:
             if host.name == name:
                 host.state = platform.HostState.LEAVING
@@ -465,11 +510,11 @@
         await self.entries[name].start()
 
     def worker_records(self):
-        """Returns the workers' own records by name."""
+        """Returns the run records that the workers wrote, by worker name."""
         return {name: w.records() for name, w in self.workers.items()}
 
     async def counters(self):
-        """Returns the counters of the proxy and of the log."""
+        """Returns the counters of the proxy and of the log service."""
         bytes_body = await self.get(self.proxy_control_address, "/counters")
         log_body = await self.get(self.log_address, "/counters")
         return (
