--- a/packages/cicadafold-standins/src/cicadafold_standins/callers.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/callers.py
@@ -28,13 +28,20 @@
 
 
 class CallRecord(msgspec.Struct, kw_only=True):
-    """What one caller asked and what it was told.
+    """One request of a caller and the answer it received.
 
     Attributes:
-        due_s: When the request was due; waiting counts from there.
-        outcome: The final outcome, or None if the caller got none.
-        told_not_run: How often an attempt was answered as not run.
-        broken: Attempts whose connection broke without an answer.
+        due_s: Monotonic time in seconds at which the request was due; the
+            answer time counts from here.
+        answered_s: Monotonic time in seconds at which the caller stopped
+            submitting it.
+        outcome: Final outcome, or None if the caller received none.
+        waited_us: Waiting time in microseconds, as reported in the answer.
+        decision_us: Time of the placement decision in microseconds, as
+            reported in the answer.
+        not_run_replies: Number of attempts that were answered "not run".
+        broken: Number of attempts whose connection broke before an answer.
+        last_error: Message of the last refusal or connection error.
     """
 
     request_id: str
@@ -54,16 +61,17 @@
 
 
 class Callers:
-    """Callers of one region, which reach it through its balancer.
+    """Callers of one region, which submit requests to one address.
 
     Args:
-        address: Address of the balancer.
+        address: Address of a balancer or an entry host.
         region: Region of the callers.
-        plan: The cell's plan.
-        seed: Seed of the arrival times and run times.
-        patience_s: How long a caller repeats its request.
-        label: Start of the request ids, so that two runs with one seed
-            do not share them.
+        plan: Plan of the cell, with kinds, teams and loads.
+        seed: Seed of the arrival times, run times and teams.
+        retry_window_s: Time in seconds after a request is due during which
+            the caller submits it again.
+        label: Prefix of the request ids; it keeps the ids of two runs with
+            the same seed apart.
     """
 
     def __init__(
--- a/packages/cicadafold-standins/src/cicadafold_standins/checker.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/checker.py
@@ -1,4 +1,4 @@
-"""Compares the callers' records with the workers' own records."""
+"""Checks guarantees by comparing the records of callers and workers."""
 
 import collections
 import enum
@@ -11,10 +11,10 @@
 from cicadafold_standins import worker as worker_standin
 
 __all__ = [
+    "CheckResult",
+    "Guarantee",
     "KindSummary",
     "Violation",
-    "Guarantee",
-    "CheckResult",
     "check_records",
 ]
 
@@ -25,27 +25,33 @@
 
 
 class Guarantee(enum.Enum):
-    """What must always hold."""
+    """A guarantee that the scheduler must keep under all faults."""
 
-    NO_OVERFILL = "no host is overfilled"
-    ONE_PLACE = "no task runs in two places at once"
-    WHOLE_ANSWER = "each caller gets the whole answer to its own request"
-    HONEST_NOT_RUN = "what was told not run was not run"
-    AT_MOST_ONCE = "non-idempotent requests run at most once"
-    LEAVING = "a leaving target gets no new work"
-    GRACEFUL = "a planned stop cuts no request in flight"
-    CONFIGURATION = "accepted configuration is in force and stays"
+    NO_OVERFILL = "no worker runs more than its capacity"
+    ONE_RUN_AT_A_TIME = "no task has two run attempts at the same time"
+    WHOLE_ANSWER = "each caller gets the complete answer to its own request"
+    HONEST_NOT_RUN = "a request answered as not run has not run"
+    AT_MOST_ONCE = "tasks of non-idempotent requests run at most once"
+    LEAVING_WORKER = "a leaving worker gets no new tasks"
+    GRACEFUL_STOP = "a planned stop cuts off no request in flight"
+    CONFIGURATION = "accepted configuration is in force everywhere and is kept"
 
 
 class Violation(msgspec.Struct, kw_only=True):
-    """A broken promise and where it shows."""
+    """A violated guarantee and a sentence that tells where."""
 
     guarantee: Guarantee
     text: str
 
 
 class KindSummary(msgspec.Struct, kw_only=True):
-    """Counts and times of one kind."""
+    """Counts and latencies of the requests of one kind.
+
+    Attributes:
+        accepted: Number of requests submitted.
+        lost: Number of requests with no, an incomplete or a wrong answer.
+        doubled: Number of tasks that ran twice although they must not.
+    """
 
     kind: str
     accepted: int = 0
@@ -65,7 +71,17 @@
 
 
 class CheckResult(msgspec.Struct, kw_only=True):
-    """What was promised and what the records show."""
+    """Result of a check.
+
+    Attributes:
+        kinds: Counts and latencies by kind.
+        overfills: Starts on a worker without free capacity.
+        given_twice: Starts refused because the task ran or was done there.
+        starts_while_leaving: Starts on a worker that was leaving.
+        peak_connections: Most open connections of a worker at any start.
+        slot_seconds: Total run time of all run attempts in seconds.
+        violations: Violated guarantees.
+    """
 
     kinds: list[KindSummary]
     overfills: int = 0
@@ -77,7 +93,7 @@
 
 
 def percentile(values, share):
-    """Returns a percentile of values, or 0 without values.
+    """Returns a percentile of values, or 0 if there are none.
 
     Examples:
         >>> percentile([3, 1, 2], 0.5)
@@ -90,21 +106,21 @@
 
 
 def check_records(records, worker_records, kinds, *, since_s=0.0):
-    """Compares what callers were told with what workers ran.
+    """Compares the callers' answers with the workers' run records.
 
     Args:
         records: The callers' records.
-        worker_records: The workers' records by name.
+        worker_records: The workers' run records by worker name.
         kinds: Kinds of the configuration.
-        since_s: Monotonic time before which starts are not counted.
+        since_s: Monotonic time in seconds; earlier starts are ignored.
 
     Returns:
-        The verdict.
+        The result with all violations.
     """
     runs = [
         run
-        for found in worker_records.values()
-        for run in found
+        for worker_runs in worker_records.values()
+        for run in worker_runs
         if run.started_s >= since_s
     ]
     by_request = collections.defaultdict(lambda: collections.defaultdict(list))
@@ -112,7 +128,7 @@
         if not run.given_twice:
             request_id = task_ids.request_id_of(run.task_id)
             by_request[request_id][run.task_id].append(run)
-    verdict = CheckResult(
+    result = CheckResult(
         kinds=[],
         overfills=sum(run.overfill for run in runs),
         given_twice=sum(run.given_twice for run in runs),
@@ -121,41 +137,45 @@
         slot_seconds=sum(max(0.0, r.ended_s - r.started_s) for r in runs),
         violations=[],
     )
-    check_starts(verdict, runs)
+    check_starts(result, runs)
     for kind in kinds:
-        mine = [record for record in records if record.kind == kind.name]
-        verdict.kinds.append(summarize_kind(kind, mine, by_request, verdict))
-    return verdict
+        kind_records = [
+            record for record in records if record.kind == kind.name
+        ]
+        result.kinds.append(
+            summarize_kind(kind, kind_records, by_request, result)
+        )
+    return result
 
 
-def check_starts(verdict, runs):
-    """Notes the starts that a worker should not have been given."""
+def check_starts(result, runs):
+    """Adds a violation for each start on a full or leaving worker."""
     for run in runs:
         if run.overfill:
             text = f"{run.task_id} was started on a full worker"
-            add_violation(verdict, Guarantee.NO_OVERFILL, text)
+            add_violation(result, Guarantee.NO_OVERFILL, text)
         if run.leaving:
             text = f"{run.task_id} was started on a leaving worker"
-            add_violation(verdict, Guarantee.LEAVING, text)
+            add_violation(result, Guarantee.LEAVING_WORKER, text)
 
 
-def add_violation(verdict, guarantee, text):
-    """Adds a problem to the verdict."""
-    verdict.violations.append(Violation(guarantee=guarantee, text=text))
+def add_violation(result, guarantee, text):
+    """Adds a violation to the result."""
+    result.violations.append(Violation(guarantee=guarantee, text=text))
 
 
-def summarize_kind(kind, records, by_request, verdict):
-    """Returns the row of one kind and notes its problems."""
+def summarize_kind(kind, records, by_request, result):
+    """Returns the summary of one kind and adds its violations."""
     row = KindSummary(kind=kind.name, accepted=len(records))
     for record in records:
         count_outcome(row, record)
-        found = list(by_request.get(record.request_id, {}).values())
-        for guarantee, text in violations(kind, record, found):
-            shown = f"{record.request_id} ({kind.name}): {text}"
-            add_violation(verdict, guarantee, shown)
+        task_runs = list(by_request.get(record.request_id, {}).values())
+        for guarantee, text in find_violations(kind, record, task_runs):
+            described = f"{record.request_id} ({kind.name}): {text}"
+            add_violation(result, guarantee, described)
             row.lost += guarantee is Guarantee.WHOLE_ANSWER
             row.doubled += guarantee in (
-                Guarantee.ONE_PLACE,
+                Guarantee.ONE_RUN_AT_A_TIME,
                 Guarantee.AT_MOST_ONCE,
             )
     set_latencies(row, [r for r in records if r.outcome is Outcome.done])
@@ -163,7 +183,7 @@
 
 
 def count_outcome(row, record):
-    """Counts the outcome of one request."""
+    """Adds the outcome of one request to the counts of its kind."""
     row.done += record.outcome is Outcome.done
     row.not_run += record.outcome is Outcome.not_run
     row.unknown += record.outcome is Outcome.unknown
@@ -171,7 +191,7 @@
 
 
 def set_latencies(row, done):
-    """Fills in the times of the requests that are done."""
+    """Sets the latency percentiles from the records of done requests."""
     answer = [(r.answered_s - r.due_s) * MS_PER_S for r in done]
     waiting = [r.waited_us / US_PER_MS for r in done]
     decision = [r.decision_us / US_PER_MS for r in done if r.decision_us]
@@ -185,37 +205,40 @@
         setattr(row, f"{name}_p99_ms", round(percentile(values, 0.99), 2))
 
 
-def violations(kind, record, found):
-    """Yields promises that are broken for one request, with the reason.
+def find_violations(kind, record, task_runs):
+    """Yields each violated guarantee of one request with the reason.
 
     Args:
         kind: The request's kind.
         record: The caller's record.
-        found: Runs of each of the request's tasks.
+        task_runs: Run attempts of each of the request's tasks.
     """
     if record.outcome is None:
-        text = f"no final answer ({record.last_error})"
+        text = f"no final answer; last error: {record.last_error}"
         yield Guarantee.WHOLE_ANSWER, text
-    if record.outcome is Outcome.not_run and found:
-        yield Guarantee.HONEST_NOT_RUN, "told not run, but it ran"
+    if record.outcome is Outcome.not_run and task_runs:
+        yield Guarantee.HONEST_NOT_RUN, "answered as not run, but it ran"
     if record.outcome is Outcome.done:
-        yield from find_answer_violations(kind, record, found)
-    for runs in found:
+        yield from find_answer_violations(kind, record, task_runs)
+    for runs in task_runs:
         if not kind.idempotent and len(runs) > 1:
-            yield Guarantee.AT_MOST_ONCE, f"ran {len(runs)} times"
+            yield Guarantee.AT_MOST_ONCE, f"a task ran {len(runs)} times"
         if runs_overlap(runs):
-            yield Guarantee.ONE_PLACE, "two runs at the same time"
+            yield (
+                Guarantee.ONE_RUN_AT_A_TIME,
+                "a task had two run attempts at the same time",
+            )
 
 
-def find_answer_violations(kind, record, found):
-    """Yields what is broken about a request that was answered."""
-    ended = [
+def find_answer_violations(kind, record, task_runs):
+    """Yields the violations of a request that was answered as done."""
+    done = [
         runs
-        for runs in found
+        for runs in task_runs
         if any(run.state is platform.TaskState.DONE for run in runs)
     ]
-    if len(ended) < kind.tasks:
-        text = f"answered, but {len(ended)} of {kind.tasks} tasks ran"
+    if len(done) < kind.tasks:
+        text = f"answered as done, but {len(done)} of {kind.tasks} tasks were"
         yield Guarantee.WHOLE_ANSWER, text
     expected = ",".join(
         worker_standin.expected_result(
@@ -225,12 +248,12 @@
         for index in range(kind.tasks)
     )
     if record.result != expected:
-        text = f"the answer is not its own: {record.result[:60]!r}"
+        text = f"answered with an unexpected result: {record.result[:60]!r}"
         yield Guarantee.WHOLE_ANSWER, text
 
 
 def runs_overlap(runs):
-    """Whether two runs of one task were under way at the same time."""
+    """Whether two run attempts of one task overlapped in time."""
     ordered = sorted(runs, key=lambda run: run.started_s)
     for earlier, later in zip(ordered, ordered[1:], strict=False):
         ended_s = earlier.ended_s or float("inf")
--- a/packages/cicadafold-standins/src/cicadafold_standins/processes.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/processes.py
@@ -194,8 +194,7 @@
             self.end = first + PORTS_PER_BLOCK
             return
         raise RuntimeError(
-            f"All port blocks between {FIRST_PORT} and {LAST_PORT} are in use;"
-            " end other drivers on this machine."
+            "All port blocks are in use; end other drivers on this machine."
         )
 
     def address(self):
@@ -211,8 +210,7 @@
                     continue
             return f"{HOST}:{port}"
         raise RuntimeError(
-            f"All {PORTS_PER_BLOCK} ports of the block are in use;"
-            " use a smaller layout."
+            "All ports of the block are in use; use a smaller layout."
         )
 
     def close(self):
--- a/packages/cicadafold-standins/src/cicadafold_standins/prove.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/prove.py
@@ -1,7 +1,8 @@
-"""Proves the promises under faults, with real processes.
+"""Checks the cell's guarantees under injected faults, with real processes.
 
-Each round has a seed, from which its faults and their times follow. The
-judge is the workers' own record and the callers' own, never the daemon's.
+Each round has a seed that determines its faults and its load. The check
+uses only the records of the workers and the callers, never those of the
+daemon under test.
 """
 
 import argparse
@@ -42,7 +43,15 @@
 
 
 class RoundResult(msgspec.Struct, kw_only=True):
-    """One round of a proof and what it showed."""
+    """Faults of one round and what the check found.
+
+    Attributes:
+        seed: Seed of the round.
+        faults: Names of the injected faults.
+        requests: Number of requests that callers submitted.
+        violations: Violated guarantees.
+        kinds: Counts and times by kind.
+    """
 
     seed: int
     faults: tuple[str, ...]
@@ -52,7 +61,7 @@
 
 
 def small_layout():
-    """Returns the layout that proofs use: 5 entry hosts, 9 workers."""
+    """Returns a layout of 5 entry hosts and 9 workers in 3 domains."""
     return testcell.Layout(
         entries={"d1": 2, "d2": 1, "d3": 2},
         racks={
@@ -64,11 +73,14 @@
 
 
 def plan_round(seed, chosen=None):
-    """Returns the faults of a seed: single ones first, then pairs.
+    """Returns the faults of a seed.
+
+    The lowest seeds inject each fault once; higher ones inject a random
+    pair.
 
     Args:
         seed: Seed of the round.
-        chosen: Names to take instead, for example from the command line.
+        chosen: Names of faults to use instead of those of the seed.
 
     Examples:
         >>> plan_round(5) == plan_round(5)
@@ -83,7 +95,18 @@
 
 
 class FaultInjection:
-    """Rounds on one cell."""
+    """Runs rounds of load and faults on one cell.
+
+    Args:
+        cell: The running cell.
+        load_s: Duration of a round's load in seconds.
+        scale: Factor applied to the plan's request rates, per region.
+        retry_window_s: Time in seconds during which a caller submits a
+            request again.
+
+    Attributes:
+        revision: Highest configuration revision seen so far.
+    """
 
     def __init__(
         self, *, cell, load_s=LOAD_S, scale=0.4, retry_window_s=RETRY_WINDOW_S
@@ -95,7 +118,7 @@
         self.revision = 1
 
     async def run(self, seed, chosen=None):
-        """Runs the round of a seed and returns it."""
+        """Runs the round of a seed and returns its result."""
         result = RoundResult(seed=seed, faults=plan_round(seed, chosen))
         context = faults.FaultContext(cell=self.cell, rng=random.Random(seed))
         since_s = time.monotonic()
@@ -120,7 +143,7 @@
         return result
 
     def create_callers(self, seed):
-        """Returns the callers of both regions."""
+        """Returns the callers of each region."""
         return [
             callers.Callers(
                 address=address,
@@ -133,7 +156,7 @@
         ]
 
     async def restore_cell(self):
-        """Starts what is not running and waits until all is well."""
+        """Restarts ended entry hosts and waits until all racks are served."""
         for entry in self.cell.entries.values():
             if not entry.is_running():
                 await entry.start()
@@ -141,7 +164,7 @@
         await self.cell.wait_racks_owned()
 
     def check_records(self, result, groups, since_s):
-        """Compares what callers were told with what workers ran."""
+        """Compares the callers' answers with the workers' run records."""
         records = [record for group in groups for record in group.records]
         found = checker.check_records(
             records,
@@ -156,24 +179,29 @@
             self.check_planned_stop(result, records)
 
     def check_planned_stop(self, result, records):
-        """Notes the requests that a planned stop has cut."""
+        """Adds a violation for each request cut off by a planned stop."""
         for record in records:
             if record.broken:
                 result.violations.append(
                     checker.Violation(
-                        guarantee=Guarantee.GRACEFUL,
+                        guarantee=Guarantee.GRACEFUL_STOP,
                         text=f"{record.request_id}: {record.last_error}",
                     )
                 )
 
     async def check_configuration(self, result, context):
-        """Checks that all members hold the one accepted revision."""
+        """Checks that accepted configuration changes are in force everywhere.
+
+        At most one of two racing changes may be accepted. Within
+        ``CONFIGURATION_BOUND_S``, all entry hosts must show the same
+        revision, and none older than in an earlier round.
+        """
         for base, replies in context.racing_changes:
             if replies.count(200) > 1:
                 result.violations.append(
                     checker.Violation(
                         guarantee=Guarantee.CONFIGURATION,
-                        text=f"two changes of revision {base} won",
+                        text=f"two changes based on revision {base} were accepted",
                     )
                 )
         end_s = time.monotonic() + CONFIGURATION_BOUND_S
@@ -185,7 +213,10 @@
                 self.revision = max(shown.values())
                 return
             if time.monotonic() > end_s:
-                text = f"revisions {shown} after {self.revision}"
+                text = (
+                    f"entry hosts show revisions {shown}, expected one "
+                    f"revision of at least {self.revision}"
+                )
                 result.violations.append(
                     checker.Violation(
                         guarantee=Guarantee.CONFIGURATION, text=text
@@ -195,7 +226,7 @@
             await asyncio.sleep(0.1)
 
     async def fetch_revisions(self):
-        """Returns the revision in force by entry host."""
+        """Returns the configuration revision in force, by entry host."""
         shown = {}
         for entry in self.cell.running_entry_hosts():
             body = await self.cell.get(entry.address, "/v1/configuration")
@@ -206,8 +237,8 @@
 
 
 def print_round(result):
-    """Prints one line for a round, and one for each problem."""
-    verdict_word = "BROKEN" if result.violations else "held"
+    """Prints a line for a round and one for each of its violations."""
+    status = "BROKEN" if result.violations else "held"
     names = " + ".join(result.faults)
     rows = ", ".join(
         f"{row.kind} {row.done}/{row.accepted}"
@@ -216,13 +247,13 @@
         + f" p99 {row.answer_p99_ms:.0f} max {row.answer_max_ms:.0f} ms"
         for row in result.kinds
     )
-    print(f"seed {result.seed} {names}: {verdict_word}; {rows}", flush=True)
+    print(f"seed {result.seed} {names}: {status}; {rows}", flush=True)
     for violation in result.violations[:10]:
         print(f"  BROKEN {violation.guarantee.value}: {violation.text}")
 
 
 def print_summary(rounds):
-    """Prints one line for each promise and fault."""
+    """Prints a line for each combination of guarantee and fault."""
     tries = collections.Counter()
     broken = collections.defaultdict(list)
     for found in rounds:
@@ -240,7 +271,7 @@
 
 
 async def prove(arguments):
-    """Runs the rounds that the arguments ask for."""
+    """Runs rounds on one cell up to the given number or duration."""
     plan = cells.CELLS[arguments.cell]()
     rounds = []
     end_s = time.monotonic() + arguments.minutes * SECONDS_PER_MINUTE
@@ -252,18 +283,18 @@
     )
     async with cell:
         print(f"logs: {cell.folder}", flush=True)
-        proof = FaultInjection(cell=cell)
+        injection = FaultInjection(cell=cell)
         for seed in seeds:
             if len(rounds) >= arguments.rounds or time.monotonic() > end_s:
                 break
-            rounds.append(await proof.run(seed, arguments.faults))
+            rounds.append(await injection.run(seed, arguments.faults))
             print_round(rounds[-1])
     print_summary(rounds)
     return rounds
 
 
 def main():
-    """Runs the proof; the exit status tells whether all held."""
+    """Runs the rounds; exits with 1 if a guarantee was violated."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--cell", default="tezgah", choices=cells.CELLS)
     parser.add_argument("--daemon", default=testcell.DAEMON_MODULE)
--- a/packages/cicadafold-standins/src/cicadafold_standins/testcell.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/testcell.py
@@ -329,7 +329,7 @@
         )
 
     def write_files(self):
-        """Writes the settings of the proxy and entry hosts and the host list."""
+        """Writes the settings of proxy and entry hosts, and the host list."""
         settings = proxy.ProxySettings(
             control=self.proxy_control_address,
             pools=list(self.pools.values()),
@@ -393,7 +393,7 @@
         while not await condition():
             if time.monotonic() > end_s:
                 raise TimeoutError(
-                    f"waited {timeout_s:g} s for: {what}; logs: {self.folder}"
+                    f"timed out waiting until {what}; logs: {self.folder}"
                 )
             await asyncio.sleep(POLL_S)
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_recovery.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_recovery.py
@@ -88,11 +88,11 @@
     "guarantee",
     [
         prove.Guarantee.NO_OVERFILL,
-        prove.Guarantee.ONE_PLACE,
+        prove.Guarantee.ONE_RUN_AT_A_TIME,
         prove.Guarantee.WHOLE_ANSWER,
         prove.Guarantee.HONEST_NOT_RUN,
         prove.Guarantee.AT_MOST_ONCE,
-        prove.Guarantee.LEAVING,
+        prove.Guarantee.LEAVING_WORKER,
         prove.Guarantee.CONFIGURATION,
     ],
 )
@@ -117,7 +117,9 @@
             return await proof.run(2001, ["drain-owner"])
 
     found = uvloop.run(go())
-    assert prove.Guarantee.GRACEFUL in {p.guarantee for p in found.violations}
+    assert prove.Guarantee.GRACEFUL_STOP in {
+        p.guarantee for p in found.violations
+    }
 
 
 def tiny_cell(folder, **changes):
