--- a/packages/cicadafold-standins/src/cicadafold_standins/checker.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/checker.py
@@ -49,8 +49,8 @@
 
     Attributes:
         accepted: Number of requests submitted.
-        lost: Number of requests with no, an incomplete or a wrong answer.
-        doubled: Number of tasks that ran twice although they must not.
+        lost: Violations for a missing, incomplete or wrong answer.
+        doubled: Violations for a task that ran twice or in two places.
     """
 
     kind: str
--- a/packages/cicadafold-standins/src/cicadafold_standins/faults.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/faults.py
@@ -1,6 +1,7 @@
-"""Faults that a proof brings about, in a registry filled by a decorator.
+"""Faults that are injected into a running cell, by name.
 
-Each fault is injected, held for a while, and healed again.
+Each fault function injects the fault, keeps it up for some time, and
+removes it again.
 """
 
 import asyncio
@@ -24,12 +25,13 @@
 
 
 class FaultContext:
-    """What a fault works on.
+    """Cell and random numbers that a fault function uses.
 
     Attributes:
         cell: The running cell.
-        random: Random numbers of the round.
-        races: Base revision and status codes of racing operators.
+        rng: Random number generator of the round.
+        racing_changes: Base revision and HTTP status codes of each pair of
+            racing configuration changes.
     """
 
     def __init__(self, *, cell, rng):
@@ -47,7 +49,7 @@
         return self.cell.workers[self.rng.choice(sorted(self.cell.workers))]
 
     async def random_rack_owner(self):
-        """Returns the owner of a random rack."""
+        """Returns the owner of a random rack, or a random entry host."""
         rack = self.rng.choice(sorted(self.cell.layout.racks))
         return await self.cell.owner_of(rack) or self.random_entry_host()
 
@@ -57,7 +59,7 @@
 
 
 def fault(name):
-    """Registers a fault under a name."""
+    """Registers a fault function under a name."""
 
     def register(function):
         FAULTS[name] = function
@@ -68,7 +70,7 @@
 
 @fault("kill-owner")
 async def kill_owner(context):
-    """Kills the owner of a rack and starts it again later."""
+    """Kills the owner of a rack and restarts it after a while."""
     entry = await context.random_rack_owner()
     entry.signal(signal.SIGKILL)
     await asyncio.sleep(FAULT_DURATION_S)
@@ -77,7 +79,7 @@
 
 @fault("kill-two")
 async def kill_two(context):
-    """Kills two entry hosts at once."""
+    """Kills two entry hosts at once and restarts them after a while."""
     entries = sorted(context.cell.running_entry_hosts(), key=lambda e: e.name)
     chosen = context.rng.sample(entries, 2)
     for entry in chosen:
@@ -89,7 +91,7 @@
 
 @fault("freeze-owner")
 async def freeze_owner(context):
-    """Freezes the owner of a rack for longer than every lease."""
+    """Suspends the owner of a rack for longer than any lease."""
     entry = await context.random_rack_owner()
     entry.signal(signal.SIGSTOP)
     await asyncio.sleep(FREEZE_DURATION_S)
@@ -98,7 +100,7 @@
 
 @fault("drain-owner")
 async def drain_owner(context):
-    """Drains the owner of a rack and starts it again."""
+    """Drains the owner of a rack and restarts it."""
     entry = await context.random_rack_owner()
     entry.signal(signal.SIGTERM)
     await entry.process.wait()
@@ -107,7 +109,7 @@
 
 @fault("rolling-replacement")
 async def rolling_replacement(context):
-    """Drains and replaces all entry hosts, one after another."""
+    """Drains and restarts all entry hosts, one after another."""
     for name in sorted(context.cell.entries):
         entry = context.cell.entries[name]
         entry.signal(signal.SIGTERM)
@@ -118,24 +120,24 @@
 
 @fault("cut-domains")
 async def cut_domains(context):
-    """Cuts all connections between two failure domains."""
+    """Resets all connections between two failure domains."""
     await set_link_mode_temporarily(context, proxy.LinkMode.RESET)
 
 
 @fault("silence-domains")
 async def silence_domains(context):
-    """Drops everything between two failure domains without a reset."""
+    """Drops all traffic between two failure domains without a reset."""
     await set_link_mode_temporarily(context, proxy.LinkMode.BLACKHOLE)
 
 
 @fault("silence-connections")
 async def silence_connections(context):
-    """Silences open connections for good; new ones work."""
+    """Drops the traffic of open connections for good; new ones work."""
     await set_link_mode_temporarily(context, proxy.LinkMode.BLACKHOLE_EXISTING)
 
 
 async def set_link_mode_temporarily(context, mode):
-    """Sets the mode of the links between two domains for a while."""
+    """Sets the mode of the links between two random domains for a while."""
     one, other = context.random_domains()
     cell = context.cell
     names = (f"{one}>{other}", f"{other}>{one}")
@@ -148,7 +150,7 @@
 
 @fault("cut-regions")
 async def cut_regions(context):
-    """Silences everything between the two regions."""
+    """Drops all traffic between regions for longer than any lease."""
     regions = context.cell.layout.regions
     pairs = [
         f"{one}>{other}"
@@ -165,19 +167,19 @@
 
 @fault("log-down")
 async def log_down(context):
-    """Takes the log service down."""
+    """Makes the log service refuse every call for a while."""
     await set_log_faults_temporarily(context, down=True)
 
 
 @fault("log-slow")
 async def log_slow(context):
-    """Slows the log service down."""
+    """Delays every call of the log service by ``SLOW_LOG_MS``."""
     await set_log_faults_temporarily(context, slow_ms=SLOW_LOG_MS)
 
 
 @fault("log-answers-lost")
 async def log_answers_lost(context):
-    """Loses answers of the log after the append took effect."""
+    """Drops the replies to a share of appends that took effect."""
     await set_log_faults_temporarily(context, lose_answers=LOST_ANSWERS_SHARE)
 
 
@@ -190,18 +192,22 @@
 
 @fault("host-list-wrong")
 async def host_list_wrong(context):
-    """Hides half of the workers from the platform's list."""
+    """Removes about half of the workers from the host list for a while."""
     cell = context.cell
-    shown = cell.hosts
-    half = [host for host in shown if context.rng.random() < 0.5]
-    await cell.publish_hosts(lag_s=0.1, hosts=half or shown[:1])
+    hosts = cell.hosts
+    half = [host for host in hosts if context.rng.random() < 0.5]
+    await cell.publish_hosts(lag_s=0.1, hosts=half or hosts[:1])
     await asyncio.sleep(FAULT_DURATION_S)
     await cell.publish_hosts(lag_s=0.1)
 
 
 @fault("worker-leaves")
 async def worker_leaves(context):
-    """Lets a worker leave; starts after 3 s are counted against us."""
+    """Marks a worker as leaving.
+
+    The worker records starts as violations from 3 s after the change is
+    visible in the host list.
+    """
     cell = context.cell
     worker = context.random_worker()
     worker.host.state = platform.HostState.LEAVING
@@ -216,7 +222,7 @@
 
 @fault("worker-fails-all")
 async def worker_fails_all(context):
-    """Lets a worker fail every task that it starts."""
+    """Makes a worker fail every task that it runs, for a while."""
     worker = context.random_worker()
     await set_worker_faults(context.cell, worker, fail_all=True)
     await asyncio.sleep(FAULT_DURATION_S)
@@ -224,7 +230,7 @@
 
 
 async def set_worker_faults(cell, worker, **faults):
-    """Sets the faults of a worker if it answers."""
+    """Sets the simulated faults of a worker, if it is reachable."""
     try:
         await cell.post(
             worker.address, "/faults", worker_standin.Faults(**faults)
@@ -235,7 +241,7 @@
 
 @fault("freeze-worker")
 async def freeze_worker(context):
-    """Freezes a worker for longer than every lease, then thaws it."""
+    """Suspends a worker for longer than any lease and resumes it."""
     worker = context.random_worker()
     worker.signal(signal.SIGSTOP)
     await asyncio.sleep(FREEZE_DURATION_S)
@@ -244,7 +250,7 @@
 
 @fault("kill-worker")
 async def kill_worker(context):
-    """Kills a worker and starts it again."""
+    """Kills a worker and restarts it after a while."""
     worker = context.random_worker()
     if not worker.is_running():
         return
@@ -255,7 +261,7 @@
 
 @fault("lose-domain")
 async def lose_domain(context):
-    """Loses all entry hosts and workers of a failure domain."""
+    """Kills all entry hosts and workers of a failure domain."""
     cell = context.cell
     domain = context.rng.choice(sorted(cell.layout.regions))
     entries = [e for e in cell.running_entry_hosts() if e.domain == domain]
@@ -274,13 +280,13 @@
 
 @fault("operator-race")
 async def operator_race(context):
-    """Lets two operators change the same revision at once."""
+    """Submits two changes of the same configuration revision at once."""
     cell = context.cell
     one, other = context.random_entry_host(), context.random_entry_host()
-    shown = await cell.get(one.address, "/v1/configuration")
-    if shown is None:
+    body = await cell.get(one.address, "/v1/configuration")
+    if body is None:
         return
-    base = msgspec.json.decode(shown, type=messages.Configuration)
+    base = msgspec.json.decode(body, type=messages.Configuration)
     serial = context.rng.randrange(10**9)
     replies = await asyncio.gather(
         submit_change(cell, one, base, f"race-{serial}-a", 1),
@@ -290,7 +296,7 @@
 
 
 async def submit_change(cell, entry, base, change_id, headroom_slots):
-    """Applies one operator's change and returns its status."""
+    """Submits one change and returns its HTTP status, or 0 without one."""
     configuration = messages.Configuration(
         revision=base.revision,
         kinds=base.kinds,
--- a/packages/cicadafold-standins/src/cicadafold_standins/prove.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/prove.py
@@ -214,8 +214,8 @@
                 return
             if time.monotonic() > end_s:
                 text = (
-                    f"entry hosts show revisions {shown}, expected one "
-                    f"revision of at least {self.revision}"
+                    f"entry hosts show revisions {shown}, expected a single"
+                    f" revision of at least {self.revision}"
                 )
                 result.violations.append(
                     checker.Violation(
--- a/packages/cicadafold-standins/src/cicadafold_standins/worker.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/worker.py
@@ -1,12 +1,13 @@
 """Stand-in for a worker that runs tasks under leases.
 
-The worker keeps its own record of what it was given: overfills, starts of
-a task that it has already started, and the time each task ran. The record
-is the evidence for the promises. It is written line by line to a file, so
-that it outlives a worker that is killed.
-
-A payload that is a JSON object may set ``run_ms`` (time to run) and
-``cores_used``; anything else runs for the default time.
+The worker records every start command it receives, including those that
+exceed its capacity or repeat a task, and the time each task ran. The check
+of the guarantees relies on these records. They are appended to a file line
+by line, so that they survive a kill of the worker.
+
+A payload that is a JSON object may set ``run_ms`` (run time in
+milliseconds) and ``cores_used``; any other payload runs for
+``DEFAULT_RUN_MS``.
 """
 
 import asyncio
@@ -33,34 +34,47 @@
 LEASE_CHECK_S = 0.02
 RETAIN_ENDED_S = 120.0
 MS_PER_S = 1000
-LIVE_OR_DONE = (messages.TaskState.RUNNING, messages.TaskState.DONE)
+RUNNING_OR_DONE = (messages.TaskState.RUNNING, messages.TaskState.DONE)
 
 
 class Behaviour(msgspec.Struct, kw_only=True):
-    """What a payload asks of the stand-in."""
+    """Simulated behaviour of a task, as set by its payload.
+
+    Attributes:
+        run_ms: Run time in milliseconds.
+        cores_used: Cores that the task reports as used.
+    """
 
     run_ms: float = DEFAULT_RUN_MS
     cores_used: float = 0.0
 
 
 class Faults(msgspec.Struct, kw_only=True):
-    """Faults that are in force."""
+    """Faults to simulate.
+
+    Attributes:
+        fail_all: Whether every task ends as failed.
+        leaving: Whether starts are recorded as made on a leaving worker.
+    """
 
     fail_all: bool = False
     leaving: bool = False
 
 
 class RunRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """One run of a task, by the monotonic clock of the machine.
+    """One start command and the run attempt that followed it.
 
     Attributes:
-        started_s: Start in seconds.
-        ended_s: End in seconds; 0 while the task runs.
-        overfill: Whether the worker could not hold the task.
+        serial: Number of the record in its file.
+        task_id: Identifier of the task.
+        started_s: Start by the host's monotonic clock, in seconds.
+        ended_s: End by the same clock, in seconds; 0 while the task runs.
+        state: State of the task.
+        overfill: Whether the task exceeded the worker's free capacity.
         leaving: Whether the worker was leaving.
-        given_twice: Whether the task ran or was done here already; such
+        given_twice: Whether the task was already running or done here; such
             a start is refused.
-        connections: Open connections at the start.
+        connections: Number of open connections at the start.
     """
 
     serial: int
@@ -75,14 +89,22 @@
 
 
 class Recorder:
-    """Writes the record of a worker, one line for each start and end."""
+    """Appends the run records of a worker to a file.
+
+    Each start and each end of a run attempt is one line.
+    """
 
     def __init__(self, *, path):
         self.output = open(path, "ab", buffering=0) if path else None
         self.serial = 0
 
     def record_start(self, task_id, **marks):
-        """Records a start and returns its record."""
+        """Writes a record of a start command and returns it.
+
+        Args:
+            task_id: Identifier of the task.
+            **marks: Further fields of the record.
+        """
         self.serial += 1
         record = RunRecord(
             serial=self.serial,
@@ -94,13 +116,16 @@
         return record
 
     def write(self, record):
-        """Writes a record as one line."""
+        """Appends a record to the file as one line, if there is a file."""
         if self.output is not None:
             self.output.write(msgspec.json.encode(record) + b"\n")
 
 
 def read_records(path):
-    """Reads the records of one run of a worker; the last line counts."""
+    """Returns the records of one incarnation of a worker.
+
+    Of several lines with the same serial number, the last one counts.
+    """
     decode = msgspec.json.Decoder(RunRecord).decode
     records = {}
     with open(path, "rb") as source:
@@ -111,21 +136,21 @@
 
 
 def expected_result(task_id, payload):
-    """Result that a worker gives for a payload.
+    """Returns the result that a worker reports for a payload.
 
     Args:
         task_id: Identifier of the task.
         payload: Payload of the request.
 
     Returns:
-        Text that depends on both, so that mixed-up answers show.
+        Text derived from both, so that answers of other requests differ.
     """
     digest = hashlib.sha256(payload.encode()).hexdigest()[:16]
     return f"{task_id}={digest}"
 
 
 def parse_behaviour(payload):
-    """Reads the behaviour that a payload asks for."""
+    """Returns the behaviour that a payload sets, or the default one."""
     try:
         return msgspec.json.decode(payload, type=Behaviour)
     except msgspec.DecodeError:
@@ -133,7 +158,13 @@
 
 
 class Task:
-    """A task that was started on this worker."""
+    """A task that was started on this worker.
+
+    Attributes:
+        lease_until_ms: End of the lease by the worker's clock, in
+            milliseconds.
+        ended: Event that is set when the task has ended.
+    """
 
     def __init__(self, *, start, record):
         self.start = start
@@ -145,7 +176,7 @@
         self.behaviour = parse_behaviour(start.payload)
 
     def report(self):
-        """Reports the state of the task."""
+        """Returns the report of the task's state."""
         return messages.TaskReport(
             task_id=self.start.task_id,
             state=self.state,
@@ -158,7 +189,16 @@
 
 
 class Worker:
-    """HTTP handlers of a worker."""
+    """HTTP handlers of a worker.
+
+    Attributes:
+        epoch: Identifier of this incarnation.
+        booted_s: Monotonic time in seconds at which the worker started.
+        fence: Highest fencing token received.
+        tasks: All tasks by identifier, ended ones for ``RETAIN_ENDED_S``
+            or until their result is acknowledged.
+        running: Running tasks by identifier.
+    """
 
     def __init__(self, *, slots, cores, memory_mb, accelerators, record_path):
         self.slots = slots
@@ -175,11 +215,11 @@
         self.app = None
 
     def now_ms(self):
-        """The worker's clock in milliseconds."""
+        """Returns the worker's clock in milliseconds since its start."""
         return int((time.monotonic() - self.booted_s) * MS_PER_S)
 
     def reply(self, tasks):
-        """Builds a reply with the worker's clock."""
+        """Returns a reply with the reports of tasks and the worker's clock."""
         return serving.json_response(
             messages.TargetReply(
                 epoch=self.epoch,
@@ -189,7 +229,7 @@
         )
 
     def refuse(self, code):
-        """Builds a refusal with the worker's clock."""
+        """Returns a refusal with the worker's clock."""
         return serving.json_response(
             messages.Refusal(
                 code=code, epoch=self.epoch, now_ms=self.now_ms()
@@ -202,7 +242,7 @@
         return len(self.app["runner"].server.connections)
 
     def check_start(self, start):
-        """Returns why a start is refused, or None."""
+        """Returns the code with which a start is refused, or None."""
         if start.epoch != self.epoch:
             return messages.RefusalCode.WRONG_EPOCH
         if start.fence < self.fence:
@@ -211,13 +251,13 @@
         if now_ms > min(start.start_by_ms, start.lease_until_ms):
             return messages.RefusalCode.EXPIRED
         known = self.tasks.get(start.task_id)
-        if known is not None and known.state in LIVE_OR_DONE:
+        if known is not None and known.state in RUNNING_OR_DONE:
             self.recorder.record_start(start.task_id, given_twice=True)
             return messages.RefusalCode.KNOWN
         return None
 
     def is_overfilled_by(self, start):
-        """Whether the worker cannot hold another task."""
+        """Whether a task exceeds the worker's free capacity."""
         running = [task.start for task in self.running.values()]
         return (
             len(running) + 1 > self.slots
@@ -229,7 +269,7 @@
         )
 
     async def start(self, request):
-        """Starts a task and answers when it has ended."""
+        """Starts a task and replies when it has ended."""
         start = await serving.read_json(request, messages.StartTask)
         refusal = self.check_start(start)
         if refusal is not None:
@@ -249,7 +289,7 @@
         return self.reply([task])
 
     def finish(self, task):
-        """Ends a task that has run for its time."""
+        """Ends a task whose run time has passed, if it still runs."""
         if task.state is not messages.TaskState.RUNNING:
             return
         if self.now_ms() > task.lease_until_ms:
@@ -262,7 +302,10 @@
             self.end(task, messages.TaskState.DONE)
 
     def end(self, task, state):
-        """Ends a task; a lapsed one ended when its lease did."""
+        """Ends a task in a state and records it.
+
+        A lapsed task is recorded as ended when its lease expired.
+        """
         task.state = state
         task.record.state = state
         ended_s = time.monotonic()
@@ -279,7 +322,7 @@
         )
 
     async def watch_leases(self):
-        """Stops the tasks whose leases have lapsed."""
+        """Ends running tasks whose leases expired, every ``LEASE_CHECK_S``."""
         while True:
             await asyncio.sleep(LEASE_CHECK_S)
             now_ms = self.now_ms()
@@ -288,21 +331,21 @@
                     self.end(task, messages.TaskState.LAPSED)
 
     async def raise_fence(self, request):
-        """Raises the fence and answers with the inventory."""
-        asked = await serving.read_json(request, messages.FenceRequest)
-        if asked.fence < self.fence:
+        """Raises the fencing token and replies with all tasks."""
+        message = await serving.read_json(request, messages.FenceRequest)
+        if message.fence < self.fence:
             return self.refuse(messages.RefusalCode.FENCED)
-        self.fence = asked.fence
+        self.fence = message.fence
         return self.reply(self.tasks.values())
 
     async def renew(self, request):
-        """Renews leases and frees acknowledged results."""
-        asked = await serving.read_json(request, messages.RenewRequest)
-        if asked.fence < self.fence:
+        """Renews leases and forgets ended tasks that are acknowledged."""
+        message = await serving.read_json(request, messages.RenewRequest)
+        if message.fence < self.fence:
             return self.refuse(messages.RefusalCode.FENCED)
         now_ms = self.now_ms()
-        found = []
-        for task_id in asked.tasks:
+        renewed = []
+        for task_id in message.tasks:
             task = self.tasks.get(task_id)
             if task is None:
                 continue
@@ -310,16 +353,18 @@
                 if task.state is messages.TaskState.RUNNING:
                     self.end(task, messages.TaskState.LAPSED)
             else:
-                task.lease_until_ms = max(task.lease_until_ms, asked.until_ms)
-            found.append(task)
-        for task_id in asked.acknowledged:
+                task.lease_until_ms = max(
+                    task.lease_until_ms, message.until_ms
+                )
+            renewed.append(task)
+        for task_id in message.acknowledged:
             task = self.tasks.get(task_id)
             if task and task.state is not messages.TaskState.RUNNING:
                 del self.tasks[task_id]
-        return self.reply(found)
+        return self.reply(renewed)
 
     async def stop(self, request):
-        """Stops a running task."""
+        """Stops a task if it runs, and replies with its state."""
         task = self.tasks.get(request.match_info["task_id"])
         if task is None:
             return self.reply([])
@@ -328,13 +373,13 @@
         return self.reply([task])
 
     async def set_faults(self, request):
-        """Sets the faults."""
+        """Replaces the simulated faults."""
         self.faults = await serving.read_json(request, Faults)
         return web.Response()
 
 
 def make_app(arguments):
-    """Builds the application of a worker."""
+    """Returns the web application of a worker."""
     worker = Worker(
         slots=arguments.slots,
         cores=arguments.cores,
@@ -360,12 +405,14 @@
 
 
 def add_arguments(parser):
-    """Adds the arguments of a worker."""
+    """Adds the command-line arguments of a worker."""
     parser.add_argument("--slots", type=int, default=8)
     parser.add_argument("--cores", type=float, default=16.0)
     parser.add_argument("--memory-mb", type=int, default=32768)
     parser.add_argument("--accelerators", type=int, default=0)
-    parser.add_argument("--record", default="", help="file to append to")
+    parser.add_argument(
+        "--record", default="", help="file to which run records are appended"
+    )
 
 
 if __name__ == "__main__":
