--- a/packages/cicadafold-standins/src/cicadafold_standins/host_list.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/host_list.py
@@ -1,6 +1,6 @@
-"""Stand-in for the platform's lagging list of workers.
+"""Stand-in for the platform's list of workers, which lags behind.
 
-``POST /hosts`` replaces the true list; readers see it after the lag.
+``POST /hosts`` replaces the list; readers see the new one after a delay.
 """
 
 import asyncio
@@ -15,27 +15,31 @@
 
 
 class HostListService:
-    """HTTP handlers of the host list."""
+    """HTTP handlers of the host list.
+
+    Args:
+        lag_s: Default delay in seconds until a new list becomes visible.
+    """
 
     def __init__(self, *, lag_s):
         self.lag_s = lag_s
         self.visible_hosts = messages.HostList(hosts=[])
 
     async def publish(self, request):
-        """Takes the true list and shows it after the lag."""
+        """Accepts a new list and makes it visible after the delay."""
         hosts = await serving.read_json(request, messages.HostList)
         lag_s = float(request.query.get("lag_s", self.lag_s))
         loop = asyncio.get_running_loop()
-        loop.call_later(lag_s, setattr, self, "visible", hosts)
+        loop.call_later(lag_s, setattr, self, "visible_hosts", hosts)
         return web.Response()
 
     async def list_hosts(self, request):
-        """Shows the list as it was some time ago."""
+        """Replies with the list that is visible now."""
         return serving.json_response(self.visible_hosts)
 
 
 def make_app(arguments):
-    """Builds the application of the host list."""
+    """Returns the web application of the host list."""
     service = HostListService(lag_s=arguments.lag_s)
     if arguments.file:
         with open(arguments.file, "rb") as source:
@@ -49,7 +53,7 @@
 
 
 def add_arguments(parser):
-    """Adds the arguments of the host list."""
+    """Adds the command-line arguments of the host list."""
     parser.add_argument("--lag-s", type=float, default=0.5)
     parser.add_argument("--file", default="")
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/log_service.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/log_service.py
@@ -1,8 +1,6 @@
 """Stand-in for the platform's append-only log service.
 
-Faults are set by ``POST /faults``: ``down`` refuses every call, ``slow_ms``
-delays each, ``lose_answers`` drops the connection after that share of
-appends took effect.
+``POST /faults`` sets the faults to simulate.
 """
 
 import asyncio
@@ -23,7 +21,14 @@
 
 
 class Faults(msgspec.Struct, kw_only=True):
-    """Faults that are in force."""
+    """Faults to simulate.
+
+    Attributes:
+        down: Whether every call is refused with status 503.
+        slow_ms: Delay of every call in milliseconds.
+        lose_answers: Share of appends that take effect, but whose
+            connection is dropped before the reply.
+    """
 
     down: bool = False
     slow_ms: int = 0
@@ -31,7 +36,13 @@
 
 
 class Stream:
-    """Entries of one stream and the event that wakes its readers."""
+    """Entries of one stream.
+
+    Attributes:
+        entries: Entries within the retention period, oldest first.
+        next_offset: Offset of the next entry.
+        appended: Event that is set, and then replaced, by each append.
+    """
 
     def __init__(self):
         self.entries = collections.deque()
@@ -40,7 +51,7 @@
 
     @property
     def oldest(self):
-        """Smallest offset that is still kept."""
+        """Offset of the oldest entry that is still kept."""
         return self.next_offset - len(self.entries)
 
     def append(self, body):
@@ -57,18 +68,18 @@
         return entry.offset
 
     def expire(self, *, retention_s):
-        """Drops the entries that are older than the retention."""
-        limit = int((time.time() - retention_s) * MS_PER_S)
-        while self.entries and self.entries[0].at_ms < limit:
+        """Drops the entries that are older than ``retention_s`` seconds."""
+        oldest_ms = int((time.time() - retention_s) * MS_PER_S)
+        while self.entries and self.entries[0].at_ms < oldest_ms:
             self.entries.popleft()
 
     def read(self, start):
-        """Returns the entries from an offset on."""
+        """Returns up to ``MAX_ENTRIES_PER_READ`` entries from an offset on."""
         skipped = max(0, start - self.oldest)
         last = min(len(self.entries), skipped + MAX_ENTRIES_PER_READ)
-        found = [self.entries[i] for i in range(skipped, last)]
+        entries = [self.entries[i] for i in range(skipped, last)]
         return messages.ReadReply(
-            entries=found,
+            entries=entries,
             oldest=self.oldest,
             next_offset=self.next_offset,
             now_ms=int(time.time() * MS_PER_S),
@@ -76,7 +87,13 @@
 
 
 class LogService:
-    """HTTP handlers of the log service."""
+    """HTTP handlers of the log service.
+
+    Args:
+        retention_s: Time for which entries are kept, in seconds.
+        max_appends_per_s: Limit of appends per second over all streams.
+        seed: Seed that selects the appends whose replies are lost.
+    """
 
     def __init__(self, *, retention_s, max_appends_per_s, seed=0):
         self.retention_s = retention_s
@@ -91,20 +108,28 @@
         self.peak_appends_per_s = 0
 
     async def apply_faults(self):
-        """Applies the faults that hold for every call."""
+        """Delays or refuses a call, as the faults require.
+
+        Raises:
+            web.HTTPServiceUnavailable: The service is down.
+        """
         if self.faults.slow_ms:
             await asyncio.sleep(self.faults.slow_ms / MS_PER_S)
         if self.faults.down:
             raise web.HTTPServiceUnavailable(text="log service is down")
 
     def count_append(self, size):
-        """Counts an append against the rate limit."""
+        """Counts an append of a size in bytes against the rate limit.
+
+        Raises:
+            web.HTTPTooManyRequests: The limit of this second is reached.
+        """
         second = int(time.monotonic())
         if second != self.current_second:
             self.current_second = second
             self.appends_in_second = 0
         if self.appends_in_second >= self.max_appends_per_s:
-            raise web.HTTPTooManyRequests(text="append rate exceeded")
+            raise web.HTTPTooManyRequests(text="append rate limit exceeded")
         self.appends_in_second += 1
         self.peak_appends_per_s = max(
             self.peak_appends_per_s, self.appends_in_second
@@ -113,7 +138,7 @@
         self.append_bytes += size
 
     async def append(self, request):
-        """Appends the body as one entry."""
+        """Appends the body of a request as one entry."""
         body = await request.read()
         await self.apply_faults()
         self.count_append(len(body))
@@ -124,7 +149,7 @@
         return serving.json_response(messages.AppendReply(offset=offset))
 
     async def read(self, request):
-        """Reads entries; waits for the first one if asked to."""
+        """Replies with entries; waits up to ``wait_ms`` if there are none."""
         await self.apply_faults()
         start = int(request.query["from"])
         wait_s = int(request.query.get("wait_ms", 0)) / MS_PER_S
@@ -140,12 +165,12 @@
         return serving.json_response(stream.read(start))
 
     async def set_faults(self, request):
-        """Sets the faults."""
+        """Replaces the simulated faults."""
         self.faults = await serving.read_json(request, Faults)
         return web.Response()
 
     async def counters(self, request):
-        """Reports how many appends were taken."""
+        """Replies with the number, bytes and peak rate of appends."""
         return web.json_response(
             {
                 "appends": self.appends,
@@ -156,7 +181,7 @@
 
 
 def make_app(arguments):
-    """Builds the application of the log service."""
+    """Returns the web application of the log service."""
     service = LogService(
         retention_s=arguments.retention_s,
         max_appends_per_s=arguments.max_appends_per_s,
@@ -170,7 +195,7 @@
 
 
 def add_arguments(parser):
-    """Adds the arguments of the log service."""
+    """Adds the command-line arguments of the log service."""
     parser.add_argument("--retention-s", type=float, default=3600.0)
     parser.add_argument("--max-appends-per-s", type=int, default=300)
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/outage.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/outage.py
@@ -1,4 +1,4 @@
-"""Measures urgent work through a long outage of the log."""
+"""Measures how urgent requests fare in a long outage of the log service."""
 
 import argparse
 import asyncio
@@ -21,7 +21,12 @@
 
 
 def load_file(label, duration_s):
-    """Returns the load of one part."""
+    """Returns the load of the phase before or during the outage.
+
+    Args:
+        label: Prefix of the request ids.
+        duration_s: Duration in seconds.
+    """
     return load.LoadFile(
         seed=5,
         label=label,
@@ -45,7 +50,7 @@
 
 
 async def measure_load(cell, label, duration_s):
-    """Offers the load to all entry hosts of the first region."""
+    """Sends the load to all entry hosts of region r1; returns a summary."""
     addresses = [
         e.address for e in cell.running_entry_hosts() if e.region == "r1"
     ]
@@ -56,7 +61,11 @@
 
 
 async def measure(outage_s):
-    """Returns what callers saw before and during the outage."""
+    """Returns the summaries of the load before and during the outage.
+
+    Args:
+        outage_s: Duration of the load during the outage, in seconds.
+    """
     cell = testcell.Cell(
         plan=cells.CELLS["tezgah"](), layout=prove.small_layout()
     )
@@ -70,17 +79,24 @@
 
 
 def main():
-    """Runs the measurement; the exit status tells whether it reached."""
+    """Runs the measurement.
+
+    Exits with 1 if the share of urgent requests done during the outage is
+    below ``MIN_SHARE`` of the share before.
+    """
     parser = argparse.ArgumentParser()
     parser.add_argument("--outage-s", type=float, default=300.0)
     arguments = parser.parse_args()
     normal, outage = processes.run(measure(arguments.outage_s))
     shares = []
     for result in (normal, outage):
-        found = result.kinds["string_gauge"]
-        shares.append(found.outcomes.get("done", 0) / found.requests)
+        urgent = result.kinds["string_gauge"]
+        shares.append(urgent.outcomes.get("done", 0) / urgent.requests)
         print(msgspec.json.encode(result).decode())
-    print(f"urgent done: {shares[0]:.4f} before, {shares[1]:.4f} in it")
+    print(
+        f"urgent done: {shares[0]:.4f} before, {shares[1]:.4f} during the "
+        "outage"
+    )
     sys.exit(0 if shares[1] >= MIN_SHARE * shares[0] else 1)
 
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/prove.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/prove.py
@@ -201,7 +201,7 @@
                 result.violations.append(
                     checker.Violation(
                         guarantee=Guarantee.CONFIGURATION,
-                        text=f"two changes based on revision {base} were accepted",
+                        text=f"two changes of revision {base} were accepted",
                     )
                 )
         end_s = time.monotonic() + CONFIGURATION_BOUND_S
--- a/packages/cicadafold-standins/src/cicadafold_standins/relay.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/relay.py
@@ -1,7 +1,8 @@
-"""A bare relay without scheduling, the baseline of the benchmark.
+"""A relay without scheduling, the baseline of the benchmark.
 
-It takes the same calls as an entry host and starts each request on the
-next worker in turn, with the same payloads over the same libraries.
+It accepts the same submit calls as an entry host and starts each request
+on the next worker in round-robin order, with the same payloads and
+libraries.
 """
 
 import itertools
@@ -24,15 +25,21 @@
 
 
 class Relay:
-    """HTTP handlers of the relay."""
+    """HTTP handlers of the relay.
+
+    Attributes:
+        addresses: Addresses of the workers.
+        clients: Client of each worker and the worker's reply to the fence.
+        request_count: Counter that selects the next worker.
+    """
 
     def __init__(self, *, addresses):
         self.addresses = addresses
         self.clients = []
-        self.turn = itertools.count()
+        self.request_count = itertools.count()
 
     async def connect(self, app):
-        """Reads the clock and epoch of each worker once."""
+        """Connects to each worker and reads its clock and epoch."""
         session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
             skip_auto_headers=("User-Agent", "Content-Type"),
@@ -44,21 +51,23 @@
             self.clients.append((client, await client.fence(HIGHEST_FENCE)))
 
     async def submit(self, request):
-        """Starts a request on the next worker."""
-        asked = decode_submit(await request.read())
-        client, known = self.clients[next(self.turn) % len(self.clients)]
+        """Starts a request on the next worker and replies with its result."""
+        submitted = decode_submit(await request.read())
+        client, fence_reply = self.clients[
+            next(self.request_count) % len(self.clients)
+        ]
         reply = await client.start(
             platform.StartTask(
-                task_id=asked.request_id,
-                epoch=known.epoch,
+                task_id=submitted.request_id,
+                epoch=fence_reply.epoch,
                 fence=HIGHEST_FENCE,
-                start_by_ms=known.now_ms + 10 * LEASE_MS,
-                lease_until_ms=known.now_ms + 10 * LEASE_MS,
-                payload=asked.payload,
+                start_by_ms=fence_reply.now_ms + 10 * LEASE_MS,
+                lease_until_ms=fence_reply.now_ms + 10 * LEASE_MS,
+                payload=submitted.payload,
             )
         )
         answer = messages.Answer(
-            request_id=asked.request_id,
+            request_id=submitted.request_id,
             outcome=messages.Outcome.done,
             result=reply.tasks[0].result,
         )
@@ -66,12 +75,12 @@
 
 
 async def healthz(request):
-    """Says that the relay is up."""
+    """Replies that the relay is ready."""
     return web.Response(text="ready")
 
 
 def make_app(arguments):
-    """Builds the application of the relay."""
+    """Returns the web application of the relay."""
     relay = Relay(addresses=arguments.worker)
     app = web.Application()
     app.on_startup.append(relay.connect)
@@ -81,7 +90,7 @@
 
 
 def add_arguments(parser):
-    """Adds the arguments of the relay."""
+    """Adds the command-line arguments of the relay."""
     parser.add_argument("--worker", action="append", required=True)
 
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/serving.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/serving.py
@@ -1,4 +1,4 @@
-"""Runs an aiohttp application of a stand-in until it is terminated."""
+"""Runs the aiohttp application of a stand-in until SIGTERM or SIGINT."""
 
 import argparse
 import asyncio
@@ -17,7 +17,7 @@
 
 
 def json_response(message, *, status=200):
-    """Encodes a message as an HTTP reply."""
+    """Returns an HTTP response with a message encoded as JSON."""
     return web.Response(
         body=msgspec.json.encode(message),
         status=status,
@@ -26,12 +26,12 @@
 
 
 async def read_json(request, kind):
-    """Decodes the body of an HTTP request."""
+    """Returns the JSON body of an HTTP request, decoded as a type."""
     return msgspec.json.decode(await request.read(), type=kind)
 
 
 async def serve(app, listen):
-    """Serves an application until SIGTERM or SIGINT."""
+    """Serves an application on ``HOST:PORT`` until SIGTERM or SIGINT."""
     host, _, port = listen.rpartition(":")
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.2)
     await runner.setup()
@@ -46,10 +46,11 @@
 
 
 def run(make_app, add_arguments=None):
-    """Parses arguments, builds the application and serves it.
+    """Parses the command line, creates the application and serves it.
 
     Args:
-        make_app: Function from parsed arguments to an application.
+        make_app: Function that returns an application for the parsed
+            arguments.
         add_arguments: Function that adds arguments to a parser.
     """
     parser = argparse.ArgumentParser()
--- a/packages/cicadafold-standins/src/cicadafold_standins/worker.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/worker.py
@@ -38,12 +38,7 @@
 
 
 class Behaviour(msgspec.Struct, kw_only=True):
-    """Simulated behaviour of a task, as set by its payload.
-
-    Attributes:
-        run_ms: Run time in milliseconds.
-        cores_used: Cores that the task reports as used.
-    """
+    """Simulated behaviour of a task, as set by its payload."""
 
     run_ms: float = DEFAULT_RUN_MS
     cores_used: float = 0.0
@@ -65,16 +60,13 @@
     """One start command and the run attempt that followed it.
 
     Attributes:
-        serial: Number of the record in its file.
-        task_id: Identifier of the task.
         started_s: Start by the host's monotonic clock, in seconds.
         ended_s: End by the same clock, in seconds; 0 while the task runs.
-        state: State of the task.
         overfill: Whether the task exceeded the worker's free capacity.
         leaving: Whether the worker was leaving.
         given_twice: Whether the task was already running or done here; such
             a start is refused.
-        connections: Number of open connections at the start.
+        connections: Open connections at the start.
     """
 
     serial: int
@@ -89,22 +81,14 @@
 
 
 class Recorder:
-    """Appends the run records of a worker to a file.
-
-    Each start and each end of a run attempt is one line.
-    """
+    """Appends a line to the record file for each start and each end."""
 
     def __init__(self, *, path):
         self.output = open(path, "ab", buffering=0) if path else None
         self.serial = 0
 
     def record_start(self, task_id, **marks):
-        """Writes a record of a start command and returns it.
-
-        Args:
-            task_id: Identifier of the task.
-            **marks: Further fields of the record.
-        """
+        """Writes a record of a start command and returns it."""
         self.serial += 1
         record = RunRecord(
             serial=self.serial,
@@ -192,12 +176,10 @@
     """HTTP handlers of a worker.
 
     Attributes:
-        epoch: Identifier of this incarnation.
-        booted_s: Monotonic time in seconds at which the worker started.
+        epoch: Identifier of this incarnation of the worker.
         fence: Highest fencing token received.
         tasks: All tasks by identifier, ended ones for ``RETAIN_ENDED_S``
             or until their result is acknowledged.
-        running: Running tasks by identifier.
     """
 
     def __init__(self, *, slots, cores, memory_mb, accelerators, record_path):
@@ -332,20 +314,20 @@
 
     async def raise_fence(self, request):
         """Raises the fencing token and replies with all tasks."""
-        message = await serving.read_json(request, messages.FenceRequest)
-        if message.fence < self.fence:
+        body = await serving.read_json(request, messages.FenceRequest)
+        if body.fence < self.fence:
             return self.refuse(messages.RefusalCode.FENCED)
-        self.fence = message.fence
+        self.fence = body.fence
         return self.reply(self.tasks.values())
 
     async def renew(self, request):
         """Renews leases and forgets ended tasks that are acknowledged."""
-        message = await serving.read_json(request, messages.RenewRequest)
-        if message.fence < self.fence:
+        body = await serving.read_json(request, messages.RenewRequest)
+        if body.fence < self.fence:
             return self.refuse(messages.RefusalCode.FENCED)
         now_ms = self.now_ms()
-        renewed = []
-        for task_id in message.tasks:
+        known_tasks = []
+        for task_id in body.tasks:
             task = self.tasks.get(task_id)
             if task is None:
                 continue
@@ -353,15 +335,13 @@
                 if task.state is messages.TaskState.RUNNING:
                     self.end(task, messages.TaskState.LAPSED)
             else:
-                task.lease_until_ms = max(
-                    task.lease_until_ms, message.until_ms
-                )
-            renewed.append(task)
-        for task_id in message.acknowledged:
+                task.lease_until_ms = max(task.lease_until_ms, body.until_ms)
+            known_tasks.append(task)
+        for task_id in body.acknowledged:
             task = self.tasks.get(task_id)
             if task and task.state is not messages.TaskState.RUNNING:
                 del self.tasks[task_id]
-        return self.reply(renewed)
+        return self.reply(known_tasks)
 
     async def stop(self, request):
         """Stops a task if it runs, and replies with its state."""
