--- a/packages/cicadafold-standins/src/cicadafold_standins/fakes.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fakes.py
@@ -1,7 +1,7 @@
-"""A worker in memory, and a node for the owner of a rack alone.
+"""In-memory fakes of a worker and of the process around a rack's owner.
 
-Tests of the owner and the measurement of its slopes use them; they speak
-the interface of a target without a network.
+The tests of rack owners and the measurement of their costs use them. The
+fake worker has the interface of a target client, but no network.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 
 def make_host(name, slots=8, cores=8.0):
-    """Returns a worker as the platform's list describes it."""
+    """Returns a worker's entry in the platform's host list."""
     return platform.HostEntry(
         name=name,
         address=name,
@@ -30,7 +30,12 @@
 
 
 def make_kind(name="k", **changes):
-    """Returns a kind of urgent idempotent work with changes."""
+    """Returns a kind, by default an urgent and idempotent single task.
+
+    Args:
+        name: Name of the kind.
+        **changes: Fields that differ from the defaults.
+    """
     fields = {
         "lane": messages.Lane.urgent,
         "shape": messages.Shape.task,
@@ -43,12 +48,22 @@
 
 
 class FakeTarget:
-    """A worker in memory that records what it was given.
+    """Target client and worker in one object, without a network.
 
     Attributes:
-        silent: Whether calls get no answer, as on a cut link.
-        lose_answers: Whether starts take effect but answers are lost.
-        hold: Tasks end only when the test ends them.
+        epoch: Identifier of the incarnation; it changes on a restart.
+        highest_fence: Highest fencing token received.
+        tasks: Task reports by task identifier.
+        leases: End of each task's lease in milliseconds.
+        silent: Whether calls fail as unreachable after they were sent, as
+            on a blackholed link.
+        lose_answers: Whether starts take effect, but their replies are
+            lost.
+        fail: Whether tasks end as failed.
+        hold_tasks: Whether tasks run until the test clears this flag or
+            changes their state; otherwise they end at once.
+        overfills: Number of starts while all slots were in use.
+        starts: Identifiers of the started tasks in order.
     """
 
     def __init__(self, *, host):
@@ -88,7 +103,7 @@
             raise exception.TargetUnreachable(message="silent", sent=True)
 
     def restart(self):
-        """Forgets everything, as a worker does that was restarted."""
+        """Begins a new incarnation without tasks and leases."""
         self.epoch += "x"
         self.booted_ms = self.now_ms()
         self.tasks = {}
@@ -167,7 +182,16 @@
 
 
 class FakeNode:
-    """What a rack's owner needs of its process."""
+    """Stand-in for the process in which a rack's owner runs.
+
+    Attributes:
+        kinds: Kinds by name.
+        targets: Fake targets by address.
+        superseded: Owners that reported being superseded.
+        still_owner: Whether the process confirms the owner's term.
+        quota: Quota of every team in cores; 0 means none.
+        recorded: Names of the recorded workers of the rack.
+    """
 
     def __init__(self, *, kinds, hosts):
         self.kinds = {kind.name: kind for kind in kinds}
--- a/packages/cicadafold-standins/src/cicadafold_standins/log_service.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/log_service.py
@@ -129,7 +129,7 @@
             self.current_second = second
             self.appends_in_second = 0
         if self.appends_in_second >= self.max_appends_per_s:
-            raise web.HTTPTooManyRequests(text="append rate limit exceeded")
+            raise web.HTTPTooManyRequests(text="append rate exceeded")
         self.appends_in_second += 1
         self.peak_appends_per_s = max(
             self.peak_appends_per_s, self.appends_in_second
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/__init__.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests with real processes."""
+"""Tests that run cells of real processes."""
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/conftest.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: one small cell of real processes for the whole session."""
+"""Fixture for a small cell of real processes, shared by all tests."""
 
 import asyncio
 import threading
@@ -14,7 +14,7 @@
 
 
 def add_kinds(plan):
-    """Adds the kinds that only tests use."""
+    """Adds two kinds that only tests use: a service and an unfitting one."""
     base = {
         "lane": messages.Lane.patient,
         "shape": messages.Shape.task,
@@ -29,7 +29,10 @@
 
 
 class RunningCell:
-    """A cell whose event loop runs in a thread of its own."""
+    """A cell whose event loop runs in a background thread.
+
+    Synchronous tests call it through run().
+    """
 
     def __init__(self, *, layout):
         self.layout = layout
@@ -53,7 +56,7 @@
         return list(self.cell.entries.values())[index].address
 
     def post(self, path, message, index=0):
-        """Posts a message and returns status and body."""
+        """Posts a message to an entry host and returns status and body."""
         return self.run(self.cell.post(self.address(index), path, message))
 
     def close(self):
@@ -65,7 +68,7 @@
 
 @pytest.fixture(scope="session")
 def running_cell(tmp_path_factory):
-    """A cell of 3 entry hosts and 4 workers in two failure domains."""
+    """Returns a cell of 3 entry hosts and 4 workers in 2 failure domains."""
     layout = testcell.Layout(
         entries={"d1": 2, "d2": 1},
         racks={"rack-1": ("d1", 2), "rack-2": ("d2", 2)},
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_calls.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls of callers and operators against a running cell."""
+"""Tests the calls for callers and operators against a running cell."""
 
 import asyncio
 import itertools
@@ -23,17 +23,17 @@
 
 
 def submit(running_cell, kind="string_gauge", *, index=0, **fields):
-    """Submits a request and returns status, message."""
-    asked = messages.SubmitRequest(
+    """Submits a request and returns the status and the decoded reply."""
+    request = messages.SubmitRequest(
         request_id=fields.pop("request_id", uuid.uuid4().hex),
         kind=kind,
         team=fields.pop("team", "schools"),
         **fields,
     )
-    return decoded(*running_cell.post("/v1/requests", asked, index))
+    return decode_reply(*running_cell.post("/v1/requests", request, index))
 
 
-def decoded(status, body):
+def decode_reply(status, body):
     kind = messages.Answer if status < 300 else messages.ErrorReply
     return status, msgspec.json.decode(body, type=kind)
 
@@ -46,7 +46,7 @@
 
 
 def runs_of(running_cell, request_id):
-    """Returns the runs of a request on all workers."""
+    """Returns the run attempts of a single-task request on all workers."""
     return [
         run
         for found in running_cell.cell.worker_records().values()
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("index", [0, 1, 2])
-def test_answer_is_the_whole_answer_to_its_own_request(running_cell, index):
+def test_request_gets_its_own_result(running_cell, index):
     request_id = uuid.uuid4().hex
     status, answer = submit(
         running_cell, request_id=request_id, payload="abc", index=index
@@ -67,9 +67,9 @@
 
 
 @pytest.mark.parametrize("kind", ["string_gauge", "cutting_sheet"])
-def test_same_id_at_all_entry_hosts_at_once_runs_once(running_cell, kind):
+def test_concurrent_submits_of_one_request_id_run_once(running_cell, kind):
     request_id = uuid.uuid4().hex
-    asked = messages.SubmitRequest(
+    request = messages.SubmitRequest(
         request_id=request_id,
         kind=kind,
         team="schools",
@@ -80,19 +80,21 @@
     async def all_at_once():
         return await asyncio.gather(
             *(
-                running_cell.cell.post(e.address, "/v1/requests", asked)
+                running_cell.cell.post(e.address, "/v1/requests", request)
                 for e in running_cell.cell.entries.values()
                 for _ in range(2)
             )
         )
 
-    replies = [decoded(*reply) for reply in running_cell.run(all_at_once())]
+    replies = [
+        decode_reply(*reply) for reply in running_cell.run(all_at_once())
+    ]
     assert {status for status, _ in replies} == {200}
     assert len({answer.result for _, answer in replies}) == 1
     assert len(runs_of(running_cell, request_id)) == 1
 
 
-def test_recorded_request_is_answered_again_from_the_ledger(running_cell):
+def test_resubmitted_request_gets_the_recorded_answer(running_cell):
     request_id = uuid.uuid4().hex
     _, first = submit(running_cell, "cutting_sheet", request_id=request_id)
     _, again = submit(
@@ -110,7 +112,7 @@
     assert status.outcome is Outcome.done
 
 
-def test_request_id_of_another_request_is_a_conflict(running_cell):
+def test_reused_request_id_with_other_fields_is_a_conflict(running_cell):
     request_id = uuid.uuid4().hex
     submit(running_cell, "cutting_sheet", request_id=request_id)
     status, reply = submit(
@@ -119,7 +121,7 @@
     assert (status, reply.error.code) == (409, Code.request_conflict)
 
 
-def test_gang_is_answered_with_all_its_results(running_cell):
+def test_answer_of_a_gang_has_the_results_of_all_tasks(running_cell):
     request_id = uuid.uuid4().hex
     _, answer = submit(
         running_cell, "voicing_plan", request_id=request_id, payload="x"
@@ -130,7 +132,9 @@
     )
 
 
-def test_not_waiting_returns_at_once_and_wait_gets_the_answer(running_cell):
+def test_submit_without_waiting_is_accepted_and_wait_returns_answer(
+    running_cell,
+):
     request_id = uuid.uuid4().hex
     status, answer = submit(
         running_cell,
@@ -141,7 +145,7 @@
     )
     assert (status, answer.outcome) == (202, Outcome.accepted)
     path = f"/v1/requests/{request_id}/wait"
-    status, answer = decoded(*running_cell.post(path, {}, index=2))
+    status, answer = decode_reply(*running_cell.post(path, {}, index=2))
     assert (status, answer.outcome) == (200, Outcome.done)
 
 
@@ -155,19 +159,19 @@
     )
     assert (status, answer.outcome) == (200, Outcome.running)
 
-    async def outlives_its_lease():
+    async def sleep_beyond_the_lease():
         await asyncio.sleep(3.0)
 
-    running_cell.run(outlives_its_lease())
+    running_cell.run(sleep_beyond_the_lease())
     found = runs_of(running_cell, request_id)
     assert [run.ended_s for run in found] == [0.0]
     path = f"/v1/requests/{request_id}/cancel"
-    status, answer = decoded(*running_cell.post(path, {}, index=1))
+    status, answer = decode_reply(*running_cell.post(path, {}, index=1))
     assert (status, answer.outcome) == (200, Outcome.cancelled)
     assert all(run.ended_s for run in runs_of(running_cell, request_id))
 
 
-def test_explain_tells_where_and_why(running_cell):
+def test_explanation_names_worker_and_policy(running_cell):
     request_id = uuid.uuid4().hex
     _, answer = submit(running_cell, request_id=request_id)
     for index in range(3):
@@ -185,7 +189,7 @@
         ("huge", {}, Code.never_fits),
     ],
 )
-def test_refused_request_was_not_run_and_names_the_remedy(
+def test_refused_request_is_not_run_and_has_a_remedy(
     running_cell, kind, fields, code
 ):
     request_id = uuid.uuid4().hex
@@ -195,20 +199,22 @@
     assert runs_of(running_cell, request_id) == []
 
 
-def test_body_over_the_limit_has_its_own_error(running_cell):
-    asked = {"request_id": "a", "kind": "k", "team": "t", "payload": "x"}
-    asked["payload"] *= 2_000_000
-    status, reply = decoded(*running_cell.post("/v1/requests", asked))
+def test_body_above_the_size_limit_is_too_large(running_cell):
+    request = {"request_id": "a", "kind": "k", "team": "t", "payload": "x"}
+    request["payload"] *= 2_000_000
+    status, reply = decode_reply(*running_cell.post("/v1/requests", request))
     assert (status, reply.error.code) == (413, Code.too_large)
 
 
 @pytest.mark.parametrize("path", ["/v2/requests", "/", "/v1/nothing"])
-def test_unknown_call_has_its_own_error(running_cell, path):
-    status, reply = decoded(*running_cell.post(path, {}))
+def test_unknown_path_is_not_found(running_cell, path):
+    status, reply = decode_reply(*running_cell.post(path, {}))
     assert (status, reply.error.code) == (404, Code.not_found)
 
 
-def test_two_racing_operators_get_one_winner_and_one_conflict(running_cell):
+def test_one_of_two_racing_changes_is_applied_and_one_is_a_conflict(
+    running_cell,
+):
     base = get(running_cell, "/v1/configuration", messages.Configuration)
     changes = []
     for number in (1, 2):
@@ -249,24 +255,24 @@
 @pytest.mark.parametrize(
     "change", [{"placement": "no_such_policy"}, {"tasks": 3}]
 )
-def test_configuration_that_contradicts_itself_is_refused(
-    running_cell, change
-):
+def test_inconsistent_configuration_is_refused(running_cell, change):
     base = get(running_cell, "/v1/configuration", messages.Configuration)
     kind = msgspec.structs.replace(base.kinds[0], **change)
     wanted = msgspec.structs.replace(base, kinds=[kind])
-    asked = messages.ConfigurationChange(
+    request = messages.ConfigurationChange(
         change_id=uuid.uuid4().hex,
         base_revision=base.revision,
         configuration=wanted,
     )
-    status, reply = decoded(*running_cell.post("/v1/configuration", asked))
+    status, reply = decode_reply(
+        *running_cell.post("/v1/configuration", request)
+    )
     assert (status, reply.error.code) == (422, Code.invalid)
 
 
-# Calls that the schema describes, with bodies that it does not.
+# Calls of the schema, most with bodies that do not match it.
 
-JUNK = st.recursive(
+INVALID_BODIES = st.recursive(
     st.none()
     | st.booleans()
     | st.integers(-(2**70), 2**70)
@@ -296,8 +302,13 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(path=st.sampled_from(POSTS), body=JUNK | st.dictionaries(FIELDS, JUNK))
-def test_junk_gets_a_typed_error_and_runs_nothing(running_cell, path, body):
+@given(
+    path=st.sampled_from(POSTS),
+    body=INVALID_BODIES | st.dictionaries(FIELDS, INVALID_BODIES),
+)
+def test_invalid_body_gets_an_error_reply_and_runs_nothing(
+    running_cell, path, body
+):
     status, content = running_cell.post(path, body)
     reply = msgspec.json.decode(content, type=messages.ErrorReply)
     assert status in (400, 404, 409, 422)
@@ -306,19 +317,23 @@
     assert str(status) in responses
 
 
-def test_bytes_that_are_not_json_are_malformed(running_cell):
+def test_body_that_is_not_json_is_malformed(running_cell):
     async def post():
         async with aiohttp.ClientSession() as session:
             url = f"http://{running_cell.address()}/v1/requests"
             async with session.post(url, data=b"\xff{") as reply:
                 return reply.status, await reply.read()
 
-    status, reply = decoded(*running_cell.run(post()))
+    status, reply = decode_reply(*running_cell.run(post()))
     assert (status, reply.error.code) == (400, Code.malformed)
 
 
 def test_every_call_of_the_schema_is_served(running_cell):
-    """A path of the schema never answers that there is no such call."""
+    """Every GET and POST path of the schema has a handler.
+
+    The statuses are those of the schema, and no reply says that the call
+    does not exist. The drain call is left out: it would end the process.
+    """
 
     async def statuses():
         found = {}
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_recovery.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_recovery.py
@@ -1,4 +1,7 @@
-"""What outlives faults, with real processes: short forms of the proof."""
+"""Tests guarantees and recovery under faults, with real processes.
+
+The rounds are shorter than those of ``cicadafold_standins.prove``.
+"""
 
 import asyncio
 import pathlib
@@ -19,8 +22,8 @@
 
 
 @pytest.fixture(scope="module")
-def proof_rounds(tmp_path_factory):
-    """Rounds of a proof on one cell, each with its faults."""
+def round_results(tmp_path_factory):
+    """Returns the results of rounds on one cell, by injected faults."""
     chosen = [
         ("kill-owner",),
         ("drain-owner",),
@@ -28,20 +31,20 @@
         ("cut-domains",),
     ]
 
-    async def go():
+    async def run():
         cell = testcell.Cell(
             plan=cells.CELLS["tezgah"](),
             layout=prove.small_layout(),
-            folder=tmp_path_factory.mktemp("proof"),
+            folder=tmp_path_factory.mktemp("rounds"),
         )
         async with cell:
-            proof = prove.FaultInjection(cell=cell, load_s=4.0, scale=0.3)
+            injection = prove.FaultInjection(cell=cell, load_s=4.0, scale=0.3)
             return [
-                await proof.run(seed, faults)
+                await injection.run(seed, faults)
                 for seed, faults in enumerate(chosen, start=1000)
             ]
 
-    return {found.faults: found for found in uvloop.run(go())}
+    return {found.faults: found for found in uvloop.run(run())}
 
 
 @pytest.mark.parametrize(
@@ -53,17 +56,17 @@
         ("cut-domains",),
     ],
 )
-def test_promises_hold(proof_rounds, faults):
-    found = proof_rounds[faults]
+def test_guarantees_hold_under_faults(round_results, faults):
+    found = round_results[faults]
     assert found.requests > 50
     assert found.violations == []
 
 
 @pytest.fixture(scope="module")
-def naive_round(tmp_path_factory):
-    """A round of the naive scheduler under the same check."""
+def naive_result(tmp_path_factory):
+    """Returns the result of a round on the naive scheduler."""
 
-    async def go():
+    async def run():
         cell = testcell.Cell(
             plan=cells.CELLS["tezgah"](),
             layout=prove.small_layout(),
@@ -71,7 +74,7 @@
             daemon="cicadafold_standins.naive",
         )
         async with cell:
-            proof = prove.FaultInjection(
+            injection = prove.FaultInjection(
                 cell=cell, load_s=5.5, scale=0.4, retry_window_s=6.0
             )
             faults = (
@@ -79,9 +82,9 @@
                 "freeze-worker",
                 "worker-leaves",
             )
-            return await proof.run(2000, faults)
+            return await injection.run(2000, faults)
 
-    return uvloop.run(go())
+    return uvloop.run(run())
 
 
 @pytest.mark.parametrize(
@@ -96,14 +99,14 @@
         prove.Guarantee.CONFIGURATION,
     ],
 )
-def test_check_reports_a_naive_scheduler(naive_round, guarantee):
-    assert guarantee in {p.guarantee for p in naive_round.violations}
+def test_check_reports_violations_of_naive_scheduler(naive_result, guarantee):
+    assert guarantee in {p.guarantee for p in naive_result.violations}
 
 
-def test_check_reports_a_stop_that_cuts_requests(tmp_path):
-    """A drain by SIGKILL is what the graceful check must report."""
+def test_check_reports_a_stop_that_cuts_off_requests(tmp_path):
+    """The naive scheduler ends at once on SIGTERM instead of draining."""
 
-    async def go():
+    async def run():
         cell = testcell.Cell(
             plan=cells.CELLS["tezgah"](),
             layout=prove.small_layout(),
@@ -111,12 +114,12 @@
             daemon="cicadafold_standins.naive",
         )
         async with cell:
-            proof = prove.FaultInjection(
+            injection = prove.FaultInjection(
                 cell=cell, load_s=3.0, scale=0.6, retry_window_s=4.0
             )
-            return await proof.run(2001, ["drain-owner"])
+            return await injection.run(2001, ["drain-owner"])
 
-    found = uvloop.run(go())
+    found = uvloop.run(run())
     assert prove.Guarantee.GRACEFUL_STOP in {
         p.guarantee for p in found.violations
     }
@@ -137,26 +140,31 @@
 
 
 async def submit(cell, request_id, kind):
-    """Submits a request to a running entry host."""
-    asked = messages.SubmitRequest(
+    """Submits a request to a running entry host and returns the reply."""
+    request = messages.SubmitRequest(
         request_id=request_id,
         kind=kind,
         team="schools",
         payload='{"run_ms": 20}',
     )
     entry = cell.running_entry_hosts()[0]
-    status, body = await cell.post(entry.address, "/v1/requests", asked)
+    status, body = await cell.post(entry.address, "/v1/requests", request)
     kind = messages.Answer if status < 300 else messages.ErrorReply
     return msgspec.json.decode(body, type=kind)
 
 
-def test_ledger_outlives_all_entry_hosts_and_the_log_retention(tmp_path):
-    """Every entry host is killed; the log has dropped the first records."""
+def test_answer_survives_restart_of_all_entry_hosts_and_log_retention(
+    tmp_path,
+):
+    """Recorded answers are restored from a snapshot in the log.
+
+    All entry hosts are killed after the log has dropped the first records.
+    """
 
-    async def go():
+    async def run():
         async with tiny_cell(tmp_path, retention_s=8.0) as cell:
             first = await submit(cell, "a", "cutting_sheet")
-            await wait_for_snapshot(cell)
+            await wait_for_retention(cell)
             for entry in cell.entries.values():
                 entry.signal(signal.SIGKILL)
                 await entry.process.wait()
@@ -173,44 +181,48 @@
             ]
             return first, again, runs
 
-    async def wait_for_snapshot(cell):
-        async def dropped():
+    async def wait_for_retention(cell):
+        async def first_records_dropped():
             body = await cell.get(
                 cell.log_address, "/streams/cicadafold/entries?from=1"
             )
             return msgspec.json.decode(body)["oldest"] > 3
 
-        await cell.wait_for(dropped, what="the first records are dropped")
+        await cell.wait_for(
+            first_records_dropped, what="the first records are dropped"
+        )
 
-    first, again, runs = uvloop.run(go())
+    first, again, runs = uvloop.run(run())
     assert first.outcome is messages.Outcome.done
     assert again.result == first.result
     assert len(runs) == 1
 
 
-def test_log_outage_refuses_durable_work_at_once_and_serves_the_rest(
+def test_log_outage_refuses_durable_requests_and_serves_others(
     tmp_path,
 ):
-    async def go():
+    async def run():
         async with tiny_cell(tmp_path) as cell:
             await cell.set_log_faults(down=True)
             await asyncio.sleep(0.5)
-            began_s = time.monotonic()
+            started_s = time.monotonic()
             durable = await submit(cell, "d", "cutting_sheet")
-            elapsed_s = time.monotonic() - began_s
+            elapsed_s = time.monotonic() - started_s
             urgent = [
                 await submit(cell, f"u{i}", "string_gauge") for i in range(20)
             ]
             await cell.set_log_faults()
 
-            async def accepted():
+            async def durable_request_done():
                 answer = await submit(cell, "d", "cutting_sheet")
                 return answer.outcome is messages.Outcome.done
 
-            await cell.wait_for(accepted, what="the log is used again")
+            await cell.wait_for(
+                durable_request_done, what="the log is used again"
+            )
             return durable, elapsed_s, urgent
 
-    durable, elapsed_s, urgent = uvloop.run(go())
+    durable, elapsed_s, urgent = uvloop.run(run())
     assert durable.outcome is messages.Outcome.not_run
     assert durable.error.code is messages.ErrorCode.log_unavailable
     assert durable.error.retry_after_ms > 0
@@ -218,8 +230,8 @@
     assert {a.outcome for a in urgent} == {messages.Outcome.done}
 
 
-def test_drain_from_the_command_line_ends_the_process_well(tmp_path):
-    async def go():
+def test_drain_command_and_drained_process_exit_with_zero(tmp_path):
+    async def run():
         async with tiny_cell(tmp_path) as cell:
             drained = await cell.owner_of("rack-1")
             program = pathlib.Path(sys.executable).with_name("cicadafold")
@@ -234,6 +246,6 @@
             answer = await submit(cell, "after", "string_gauge")
             return exit_code, daemon_code, answer
 
-    exit_code, daemon_code, answer = uvloop.run(go())
+    exit_code, daemon_code, answer = uvloop.run(run())
     assert (exit_code, daemon_code) == (0, 0)
     assert answer.outcome is messages.Outcome.done
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_security.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_security.py
@@ -1,4 +1,4 @@
-"""Tokens per role, and calls over TLS, on a daemon of its own."""
+"""Tests the tokens of each role and calls over TLS on a secured cell."""
 
 import ssl
 import subprocess
@@ -19,7 +19,7 @@
 
 @pytest.fixture(scope="module")
 def certificate(tmp_path_factory):
-    """A self-signed certificate for the loopback address."""
+    """Returns key and self-signed certificate for the loopback address."""
     folder = tmp_path_factory.mktemp("tls")
     key, path = folder / "key.pem", folder / "certificate.pem"
     subprocess.run(
@@ -49,7 +49,7 @@
 
 @pytest.fixture(scope="module")
 def statuses(certificate, tmp_path_factory):
-    """Statuses of calls by token, over HTTP and over TLS."""
+    """Returns the statuses of calls by token, over HTTP and TLS."""
     key, path = certificate
     cell = SecuredCell(
         plan=cells.CELLS["tezgah"](),
@@ -63,15 +63,19 @@
     )
     cell.key, cell.certificate = key, path
 
-    async def go():
+    async def run():
         async with cell:
-            return await ask_all(cell)
+            return await call_with_each_token(cell)
 
-    return uvloop.run(go())
+    return uvloop.run(run())
 
 
 class SecuredCell(testcell.Cell):
-    """A cell whose settings have tokens and a certificate."""
+    """A cell whose entry hosts require tokens and also listen with TLS.
+
+    The driver has no token, so that it neither applies a configuration nor
+    waits for owners.
+    """
 
     def write_settings(self, entry):
         super().write_settings(entry)
@@ -92,8 +96,8 @@
         return
 
 
-async def ask_all(cell):
-    """Makes calls with each token and returns their statuses."""
+async def call_with_each_token(cell):
+    """Makes calls with each token; returns their statuses and the log."""
     entry = next(iter(cell.entries.values()))
     context = ssl.create_default_context(cafile=str(cell.certificate))
     found = {}
@@ -125,7 +129,9 @@
         ("peer_token", 403, 403, 200),
     ],
 )
-def test_role_of_the_token_decides(statuses, name, caller, operator, peer):
+def test_token_allows_only_the_calls_of_its_role(
+    statuses, name, caller, operator, peer
+):
     assert statuses[(name, "/v1/configuration")] == caller
     assert statuses[(name, "/v1/cell")] == operator
     assert statuses[(name, "/peer/burn")] == peer
@@ -135,5 +141,5 @@
     assert "call: /v1/cell was refused" in statuses["log"]
 
 
-def test_call_over_tls(statuses):
+def test_call_over_tls_is_served(statuses):
     assert statuses["tls"] == 200
