--- a/packages/cicadafold-standins/src/cicadafold_standins/capacity.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/capacity.py
@@ -113,7 +113,7 @@
     )
 
 
-async def member_slopes():
+async def fit_member_costs():
     """Returns the lines of idle members, at 3 to 24 members."""
     shares, memory_mb, rates = [], [], []
     for count in MEMBER_COUNTS:
@@ -133,17 +133,13 @@
     ]
 
 
-async def worker_slopes():
+async def fit_worker_costs():
     """Returns the lines of routing and rack owners, at 24 to 3,400 workers."""
     route_times_us, placement_times_us, memory_mb = [], [], []
     claimer_passes_ms, lists, sizes = [], [], []
     for count in WORKER_COUNTS:
         _, route_us = state_costs.measure_routing(count)
-        (
-            bytes_per_worker,
-            _,
-            placement_us,
-        ) = await state_costs.measure_rack_owner(
+        worker_bytes, _, placement_us = await state_costs.measure_rack_owner(
             count, state_costs.DECISION_COUNT
         )
         claimer_passes_ms.append(
@@ -154,10 +150,10 @@
         sizes.append((count, kilobytes))
         route_times_us.append((count, route_us))
         placement_times_us.append((count, placement_us))
-        memory_mb.append((count, bytes_per_worker * count / 1e6))
+        memory_mb.append((count, worker_bytes * count / 1e6))
         print_progress(
             f"{count} workers: route p99 {route_us:.0f} us, placement p99 "
-            f"{placement_us:.0f} us, {bytes_per_worker:.0f} bytes a worker"
+            f"{placement_us:.0f} us, {worker_bytes:.0f} bytes a worker"
         )
     return [
         fit_line(
@@ -175,7 +171,7 @@
     ]
 
 
-def task_slopes():
+def fit_request_costs():
     """Returns the lines of open requests, at 1,000 to 91,000 requests."""
     rack_requests_mb, control_state_mb, apply_times_us, snapshot_sizes_mb = (
         [],
@@ -210,7 +206,7 @@
     ]
 
 
-def team_slopes():
+def fit_team_costs():
     """Returns the lines of fair queueing, at 10 to 540 teams."""
     serve_times_us, sizes = [], []
     for count in TEAM_COUNTS:
@@ -225,7 +221,7 @@
     ]
 
 
-def renewal_slopes():
+def fit_renewal_size():
     """Returns the line of a renewal's size against the leases it renews."""
     sizes = []
     for count in (1, 27):
@@ -243,25 +239,25 @@
     print(text, file=sys.stderr, flush=True)
 
 
-async def measure():
+async def measure_all():
     """Runs all measurements and returns their fitted lines."""
-    slopes = team_slopes() + renewal_slopes() + task_slopes()
-    slopes += await worker_slopes()
-    slopes += await member_slopes()
-    return slopes
+    fits = fit_team_costs() + fit_renewal_size() + fit_request_costs()
+    fits += await fit_worker_costs()
+    fits += await fit_member_costs()
+    return fits
 
 
-def format_table(slopes):
+def format_table(fits):
     """Returns the fitted lines as a Markdown table."""
     lines = [
         "| what | against | points | slope | base |",
         "|---|---|---|---|---|",
     ]
-    for slope in slopes:
-        points = ", ".join(f"{c:g}: {v:g}" for c, v in slope.points)
+    for fit in fits:
+        points = ", ".join(f"{c:g}: {v:g}" for c, v in fit.points)
         lines.append(
-            f"| {slope.name} | {slope.against} | {points} | "
-            f"{slope.slope:.3g} | {slope.base:.3g} |"
+            f"| {fit.name} | {fit.against} | {points} | "
+            f"{fit.slope:.3g} | {fit.base:.3g} |"
         )
     return "\n".join(lines)
 
@@ -271,8 +267,8 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--output", default="")
     arguments = parser.parse_args()
-    slopes = processes.run(measure())
-    results.write_text(format_table(slopes), arguments.output)
+    fits = processes.run(measure_all())
+    results.write_text(format_table(fits), arguments.output)
 
 
 if __name__ == "__main__":
--- a/packages/cicadafold-standins/src/cicadafold_standins/demo.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/demo.py
@@ -117,9 +117,9 @@
         and removes a worker.
         """
         await asyncio.sleep(KILL_AT_S)
-        victim = await cell.owner_of("rack-1")
-        self.print_progress(f"Killing {victim.name}, which owns rack-1.")
-        victim.signal(signal.SIGKILL)
+        killed = await cell.owner_of("rack-1")
+        self.print_progress(f"Killing {killed.name}, which owns rack-1.")
+        killed.signal(signal.SIGKILL)
         await asyncio.sleep(DRAIN_AT_S - KILL_AT_S)
         drained = await cell.owner_of("rack-2")
         if drained is not None:
@@ -169,8 +169,7 @@
         """Marks a worker as leaving in the platform's host list.
 
         A task that is started on the worker later than ``LEAVE_BOUND_S``
-        after the list shows it as leaving counts as a
-        violation.
+        after the list shows it as leaving counts as a violation.
         """
         name = "rack-3-w1"
         lag_s = 0.5
