--- a/packages/cicadafold/src/cicadafold/platform/wire.py
+++ b/packages/cicadafold/src/cicadafold/platform/wire.py
@@ -9,7 +9,7 @@
     "job_document",
     "parse_configuration",
     "parse_end_report",
-    "parse_host_report",
+    "parse_worker_report",
     "parse_job",
     "parse_run_report",
 ]
@@ -115,7 +115,7 @@
     """A pool of workers, which the platform calls a service.
 
     ``admissionCheck`` tells whether its workers reject tasks that exceed
-    their free capacity, ``standby`` whether its hosts are switched off.
+    their free capacity, ``standby`` whether they are switched off.
     """
 
     name: str
@@ -175,7 +175,7 @@
         job: Identifier of the job.
         rule: Rule of the queue of the job.
         accepted_ms: Unix time of the acceptance in milliseconds.
-        waited_ms: Milliseconds that the call had waited before.
+        waited_ms: Milliseconds that the call had waited before then.
 
     Raises:
         ValueError: The body cannot be decoded, or a value is out of range.
@@ -319,11 +319,11 @@
     )
 
 
-def parse_host_report(worker, value):
+def parse_worker_report(worker, value):
     """Decodes a worker's entry in the registry.
 
     Returns:
-        The ``HostReport`` of the worker, or None if the entry cannot be
+        The ``WorkerReport`` of the worker, or None if the entry cannot be
         decoded or its state is unknown.
     """
     try:
@@ -333,7 +333,7 @@
     draining = DRAINING_BY_STATE.get(found.state)
     if draining is None:
         return None
-    return model.HostReport(
+    return model.WorkerReport(
         id=worker,
         pool=found.service,
         address=found.address,
