--- a/packages/cicadafold/src/cicadafold/service/caller_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/caller_calls.py
@@ -22,7 +22,7 @@
 ANSWER_TIMEOUT_S = 30.0
 PEER_TIMEOUT_S = 1.0
 CATCH_UP_TIMEOUT_S = 1.0
-MICROSECONDS_PER_S = 1_000_000
+US_PER_S = 1_000_000
 
 SUBMIT_DECODER = msgspec.json.Decoder(messages.SubmitRequest)
 EXPLANATION_DECODER = msgspec.json.Decoder(messages.Explanation)
@@ -43,7 +43,7 @@
 
 
 def require_kind_and_team(node, submit):
-    """Returns the configured kind of a request.
+    """Checks the kind and the team of a request, and returns the kind.
 
     Args:
         node: This process.
@@ -107,9 +107,7 @@
     """
     metrics = node.metrics
     metrics.count("answers", kind=kind.name, outcome=answer.outcome.value)
-    metrics.record_us(
-        "answer_time", elapsed_s * MICROSECONDS_PER_S, kind=kind.name
-    )
+    metrics.record_us("answer_time", elapsed_s * US_PER_S, kind=kind.name)
     if answer.decision_us:
         metrics.record_us("decision", answer.decision_us, kind=kind.name)
     metrics.record_us("waiting", answer.waited_us, kind=kind.name)
@@ -147,7 +145,7 @@
 async def recorded_entry(node, request_id):
     """Returns the entry of a recorded request.
 
-    If the replayed state has no entry, the control log is read to its end
+    If the control state has no entry, the control log is read to its end
     first, as another entry host may just have accepted the request.
 
     Raises:
