--- a/packages/cicadafold/src/cicadafold/controllog/snapshots.py
+++ b/packages/cicadafold/src/cicadafold/controllog/snapshots.py
@@ -30,7 +30,7 @@
     its state from the last snapshot.
 
     Args:
-        node: The services of this process.
+        node: ``Node``, which holds the components of this process.
         retention_s: Time for which the log retains entries, in seconds.
 
     Attributes:
--- a/packages/cicadafold/src/cicadafold/coordination/adoption.py
+++ b/packages/cicadafold/src/cicadafold/coordination/adoption.py
@@ -29,7 +29,7 @@
     """Adopts open requests of which this process should be coordinator.
 
     Args:
-        node: The services of this process.
+        node: ``Node``, which holds the components of this process.
         coordinate: Function that starts to coordinate a
             ``PendingRequest`` after its adoption.
 
@@ -131,7 +131,7 @@
                 asyncio.create_task(self.adopt(entry))
 
     def index_open_requests(self, state):
-        """Finds the open requests anew after the state was replaced.
+        """Rebuilds ``open_ids`` after the control state was replaced.
 
         Args:
             state: The current control state.
--- a/packages/cicadafold/src/cicadafold/coordination/answers.py
+++ b/packages/cicadafold/src/cicadafold/coordination/answers.py
@@ -75,7 +75,7 @@
         outcome: Outcome of the request.
         code: Error code of a request that was not run; empty stands for
             ``overloaded``.
-        text: Message; empty stands for a general one.
+        text: Message; if empty, a general one is used.
         retry_after_ms: Milliseconds after which to try again, or 0.
     """
     if outcome is Outcome.failed:
--- a/packages/cicadafold/src/cicadafold/coordination/coordinator.py
+++ b/packages/cicadafold/src/cicadafold/coordination/coordinator.py
@@ -37,7 +37,7 @@
     """Handles the recorded requests of one process.
 
     Args:
-        node: The services of this process.
+        node: ``Node``, which holds the components of this process.
 
     Attributes:
         dispatcher: Sends requests to the owners of racks.
--- a/packages/cicadafold/src/cicadafold/ownership/rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack.py
@@ -44,7 +44,7 @@
         name: Name of the rack.
         term: Term, raised as the fence at each worker.
         hosts: The platform's list of the rack's workers.
-        node: The services of this process that the owner needs.
+        node: ``Node``, which holds the components of this process.
 
     Attributes:
         requests: ``RackRequest`` by identifier, kept until
--- a/packages/cicadafold/src/cicadafold/ownership/rack_claimer.py
+++ b/packages/cicadafold/src/cicadafold/ownership/rack_claimer.py
@@ -27,7 +27,7 @@
     """Runs the owners of this process's racks, as the control state says.
 
     Args:
-        node: The services of this process.
+        node: ``Node``, which holds the components of this process.
 
     Attributes:
         owners: ``RackOwner`` of each rack that this process owns, by rack.
@@ -190,7 +190,7 @@
 
         Args:
             rack: The rack.
-            member: Member that shall own the rack, this one or a successor.
+            member: Member that is to own the rack, this one or a successor.
         """
         owner = self.node.tail.state.owners.get(rack.name)
         previous = owner.term if owner else 0
--- a/packages/cicadafold/src/cicadafold/ownership/service.py
+++ b/packages/cicadafold/src/cicadafold/ownership/service.py
@@ -18,7 +18,7 @@
     """Receives frames of other processes and passes them to rack owners.
 
     Args:
-        node: The services of this process.
+        node: ``Node``, which holds the components of this process.
     """
 
     def __init__(self, *, node):
--- a/packages/cicadafold/src/cicadafold/ownership/target_link.py
+++ b/packages/cicadafold/src/cicadafold/ownership/target_link.py
@@ -111,7 +111,7 @@
         return quarantine_over and not self.tasks
 
     async def run(self):
-        """Fences the worker and renews leases, anew after each failure."""
+        """Fences the worker and renews leases; retries after each failure."""
         while self.state is not LinkState.FENCED:
             try:
                 if await self.raise_fence():
@@ -125,7 +125,7 @@
             await asyncio.sleep(RETRY_PERIOD_S)
 
     async def raise_fence(self):
-        """Raises the fence and reads the inventory; returns success."""
+        """Raises the fence and applies the inventory; returns whether it did."""
         try:
             reply = await self.client.fence(self.term)
         except exception.TargetUnreachable:
@@ -166,7 +166,7 @@
         """Tracks a running task of the inventory, whose lease is not known.
 
         It ends at most ``lease_ms``, the longest lease that may have been
-        given, and ``CLOCK_SLACK_MS`` after the lower bound of the worker's
+        granted, and ``CLOCK_SLACK_MS`` after the lower bound of the worker's
         clock. It is renewed next.
         """
         resources = host_capacity.TaskResources(
@@ -244,7 +244,7 @@
             self.apply_report(task, reply.tasks[0])
 
     def apply_refusal(self, task, refusal):
-        """Ends a refused task; one that is running already is unconfirmed."""
+        """Ends a refused task, or marks it unconfirmed if the worker knows it."""
         if refusal.code is messages.RefusalCode.KNOWN:
             task.unconfirmed = True
             self.renewal_wanted.set()
--- a/packages/cicadafold/src/cicadafold/ownership/tests/test_rack.py
+++ b/packages/cicadafold/src/cicadafold/ownership/tests/test_rack.py
@@ -240,7 +240,7 @@
 
 
 def test_unknown_outcome_of_idempotent_request_is_retried(run_on_rack):
-    """Guards against repeating a kept "unknown" though workers answer now."""
+    """Guards against answering "unknown" again after the workers answer."""
 
     async def body(owner, node):
         unreachable = node.targets["w1"]
--- a/packages/cicadafold/src/cicadafold/ownership/tests/test_rack_claimer.py
+++ b/packages/cicadafold/src/cicadafold/ownership/tests/test_rack_claimer.py
@@ -73,9 +73,9 @@
 
 
 def test_rack_is_not_handed_back_at_once():
-    """Guards against handing a rack back to the draining member it is from.
+    """Guards against two members that hand a rack to each other repeatedly.
 
-    The two members then passed the rack to each other many times.
+    A member that received a rack from a draining one handed it back at once.
     """
     claimer = make_claimer(["d1", "d2"])
     assert successor(claimer, 0.1) is None
--- a/packages/cicadafold/src/cicadafold/placement/request_queue.py
+++ b/packages/cicadafold/src/cicadafold/placement/request_queue.py
@@ -33,7 +33,7 @@
     """Urgent and patient requests that wait on one rack.
 
     Removal takes constant time: it only clears the request's ``queued``
-    mark. A later peek drops such a request once it is first in its queue.
+    attribute. A later peek drops such a request once it is first in its queue.
     """
 
     def __init__(self):
--- a/packages/cicadafold/src/cicadafold/service/app.py
+++ b/packages/cicadafold/src/cicadafold/service/app.py
@@ -84,7 +84,7 @@
     reply, so that later calls go to another entry host.
 
     Args:
-        node: This process.
+        node: ``Node`` of this process.
         authorizer: Checks the token of the call.
         call: Registered call.
     """
@@ -148,7 +148,7 @@
     """Returns the aiohttp application of an entry host.
 
     Args:
-        node: This process.
+        node: ``Node`` of this process.
     """
     settings = node.settings
     app = web.Application(client_max_size=settings["limits.max_body_bytes"])
--- a/packages/cicadafold/src/cicadafold/service/caller_calls.py
+++ b/packages/cicadafold/src/cicadafold/service/caller_calls.py
@@ -46,7 +46,7 @@
     """Checks the kind and the team of a request, and returns the kind.
 
     Args:
-        node: This process.
+        node: ``Node`` of this process.
         submit: The caller's request.
 
     Raises:
@@ -100,7 +100,7 @@
     """Records the metrics of an answered request.
 
     Args:
-        node: This process.
+        node: ``Node`` of this process.
         kind: Kind of the request.
         answer: The answer.
         elapsed_s: Seconds from the arrival of the call to the answer.
@@ -120,7 +120,7 @@
     the control log before it is placed; others are placed at once.
 
     Args:
-        node: This process.
+        node: ``Node`` of this process.
         submit_request: The caller's request.
         kind: Its kind.
 
@@ -258,7 +258,7 @@
     A redirected request is cancelled at the rack that it was redirected to.
 
     Args:
-        node: This process.
+        node: ``Node`` of this process.
         rack: Name of the rack.
         request_id: Identifier of the request.
         lane: Priority lane of the call.
@@ -290,7 +290,7 @@
     A cancelled request with an entry is recorded as done on the control log.
 
     Args:
-        node: This process.
+        node: ``Node`` of this process.
         entry: Entry of the request, or None if it was not recorded.
         reply: Reply of the owner of the rack.
     """
@@ -355,7 +355,7 @@
     """Makes a GET call to a peer.
 
     Args:
-        node: This process.
+        node: ``Node`` of this process.
         peer: Member to call.
         path: URL path of the call.
 
--- a/packages/cicadafold/src/cicadafold/service/registry.py
+++ b/packages/cicadafold/src/cicadafold/service/registry.py
@@ -25,7 +25,7 @@
         method: HTTP method.
         path: Path in the syntax of aiohttp's router.
         role: Role that the call requires.
-        handler: Coroutine function of the process and the HTTP request.
+        handler: Coroutine function of the ``Node`` and the HTTP request.
     """
 
     method: str
@@ -37,7 +37,7 @@
 def call(method, path, role):
     """Returns a decorator that registers the handler of a call.
 
-    The handler is a coroutine function of the process and the HTTP request.
+    The handler is a coroutine function of the ``Node`` and the HTTP request.
 
     Args:
         method: HTTP method.
