--- a/packages/cicadafold/src/cicadafold/jobs/model.py
+++ b/packages/cicadafold/src/cicadafold/jobs/model.py
@@ -278,8 +278,8 @@
 
     Attributes:
         name: Name of the pool.
-        guards_room: Whether its workers reject a start that exceeds their
-            free capacity.
+        guards_room: Whether its workers have an admission check, which
+            rejects a start that exceeds their free capacity.
         standby: Whether its workers are switched off.
     """
 
@@ -310,7 +310,7 @@
     Attributes:
         id: Name of the worker.
         pool: Name of its pool.
-        address: IP address and port.
+        address: IP number and port.
         domain: Name of its failure domain.
         draining: Whether it is draining.
         remaining_ms: Minimum number of milliseconds until it leaves, if it
--- a/packages/cicadafold/src/cicadafold/ownership/recovered_tasks.py
+++ b/packages/cicadafold/src/cicadafold/ownership/recovered_tasks.py
@@ -18,7 +18,7 @@
     its request is not known before the coordinator dispatches it.
 
     Args:
-        rack: ``RackOwner`` of the rack.
+        owner: ``RackOwner`` of the rack.
 
     Attributes:
         running: Running tasks by identifier, for each request identifier.
@@ -26,8 +26,8 @@
             each request identifier.
     """
 
-    def __init__(self, *, rack):
-        self.rack = rack
+    def __init__(self, *, owner):
+        self.owner = owner
         self.running = {}
         self.ended = {}
 
@@ -39,7 +39,7 @@
             report: The worker's ``TaskReport``.
         """
         request_id = task_ids.request_id_of(report.task_id)
-        request = self.rack.requests.get(request_id)
+        request = self.owner.requests.get(request_id)
         if report.state is platform.TaskState.RUNNING:
             self.add_running(link, report, request)
         else:
@@ -59,7 +59,7 @@
         """
         task = link.track_running(
             report,
-            lease_ms=self.rack.node.longest_lease_ms(),
+            lease_ms=self.owner.node.longest_lease_ms(),
             on_end=self.on_end,
         )
         if request is not None and not self.is_waiting(request):
@@ -89,7 +89,10 @@
         if earlier is not None and earlier[1].report is not None:
             return
         task = rack_requests.TargetTask(
-            task_id=report.task_id, link=link, size=None, on_end=self.on_end
+            task_id=report.task_id,
+            link=link,
+            resources=None,
+            on_end=self.on_end,
         )
         task.ended = True
         ended[task.task_id] = (task, end_of(report))
@@ -102,13 +105,13 @@
         request_id = task_ids.request_id_of(task.task_id)
         running = self.running.get(request_id, {})
         if running.pop(task.task_id, None) is None:
-            self.rack.on_task_end(task, end)
+            self.owner.on_task_end(task, end)
             return
         if not running:
             del self.running[request_id]
         ended = self.ended.setdefault(request_id, {})
         ended[task.task_id] = (task, end)
-        starting.dispatch_queued(self.rack)
+        starting.dispatch_queued(self.owner)
 
     def discard_closed(self):
         """Discards ended tasks whose recorded requests are not open.
@@ -118,7 +121,7 @@
         closed = [
             request_id
             for request_id in self.ended
-            if not self.rack.node.is_open(request_id)
+            if not self.owner.node.is_open(request_id)
         ]
         for request_id in closed:
             for task, _ in self.ended.pop(request_id).values():
@@ -134,7 +137,7 @@
         That is so, even if inventories are missing, if one of the tasks runs
         or if all of them have ended with a report.
         """
-        if self.running.get(request_id) or self.rack.all_inventoried():
+        if self.running.get(request_id) or self.owner.all_inventoried():
             return True
         ended = self.ended.get(request_id, {})
         return all(end.report is not None for _, end in ended.values())
@@ -157,14 +160,14 @@
         running = self.running.pop(request.request_id, {})
         ended = self.ended.pop(request.request_id, {})
         if request.kind.lane is messages.Lane.patient:
-            cores = sum(task.size.cores for task in running.values())
-            self.rack.held_cores[request.team] += cores
+            cores = sum(task.resources.cores for task in running.values())
+            self.owner.held_cores[request.team] += cores
         request.may_have_run = True
         request.state = rack_requests.RequestState.RUNNING
         request.tasks.update(running)
         request.ends.update(ended)
         for task in running.values():
-            task.on_end = self.rack.on_task_end
+            task.on_end = self.owner.on_task_end
         self.add_missing_tasks(request)
         return True
 
@@ -175,18 +178,21 @@
         """
         missing = request.kind.tasks - len(request.tasks) - len(request.ends)
         for index in range(request.kind.tasks if missing > 0 else 0):
-            name = task_ids.task_id(
+            task_id = task_ids.task_id(
                 request.request_id, index, request.kind.tasks
             )
-            if name not in request.tasks and name not in request.ends:
+            if task_id not in request.tasks and task_id not in request.ends:
                 task = rack_requests.TargetTask(
-                    task_id=name, link=None, size=None, on_end=self.on_end
+                    task_id=task_id,
+                    link=None,
+                    resources=None,
+                    on_end=self.on_end,
                 )
                 end = rack_requests.TaskEnd(
                     reason=rack_requests.EndReason.NOT_STARTED
                 )
-                request.ends[name] = (task, end)
-        completion.collect(self.rack, request)
+                request.ends[task_id] = (task, end)
+        completion.collect(self.owner, request)
 
 
 def end_of(report):
