--- a/packages/cicadafold/src/cicadafold/ownership/target_link.py
+++ b/packages/cicadafold/src/cicadafold/ownership/target_link.py
@@ -125,7 +125,7 @@
             await asyncio.sleep(RETRY_PERIOD_S)
 
     async def raise_fence(self):
-        """Raises the fence and applies the inventory; returns whether it did."""
+        """Raises the fence, applies the inventory; returns whether it did."""
         try:
             reply = await self.client.fence(self.term)
         except exception.TargetUnreachable:
@@ -244,7 +244,7 @@
             self.apply_report(task, reply.tasks[0])
 
     def apply_refusal(self, task, refusal):
-        """Ends a refused task, or marks it unconfirmed if the worker knows it."""
+        """Ends a refused task; one that the worker knows is unconfirmed."""
         if refusal.code is messages.RefusalCode.KNOWN:
             task.unconfirmed = True
             self.renewal_wanted.set()
