--- a/packages/cicadafold-standins/src/cicadafold_standins/load.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/load.py
@@ -34,7 +34,7 @@
 LOWEST_US = 1
 HIGHEST_US = 600_000_000
 SIGNIFICANT_DIGITS = 3
-MICROSECONDS = 1_000_000
+US_PER_S = 1_000_000
 MS_PER_S = 1000
 US_PER_MS = 1000
 
--- a/packages/cicadafold/src/cicadafold/membership/tests/test_gossip.py
+++ b/packages/cicadafold/src/cicadafold/membership/tests/test_gossip.py
@@ -85,7 +85,7 @@
         assert known_peers >= 22
 
 
-def test_silent_peer_does_not_keep_others_from_being_heard():
+def test_exchange_with_silent_peer_does_not_delay_others():
     """Exchanges with unreachable peers do not block those with others.
 
     Guards against a regression in which each exchange waited for the one
--- a/packages/cicadafold/src/cicadafold/ownership/completion.py
+++ b/packages/cicadafold/src/cicadafold/ownership/completion.py
@@ -12,7 +12,7 @@
 from cicadafold.platform import messages as platform
 from cicadafold_schema import messages
 
-__all__ = ["collect", "on_task_end"]
+__all__ = ["complete_if_ended", "on_task_end"]
 
 MAX_FAILURES = 3
 MEAN_WEIGHT = 0.05
@@ -41,7 +41,7 @@
         owner.held_cores[request.team] -= task.resources.cores
     record_run(owner, task, end, request)
     if request.reply is None:
-        collect(owner, request)
+        complete_if_ended(owner, request)
     starting.dispatch_queued(owner)
 
 
@@ -61,7 +61,7 @@
     task.link.record_result(request.request_id, failed=failed)
 
 
-def collect(owner, request):
+def complete_if_ended(owner, request):
     """Completes a request once all its tasks have ended.
 
     If a task of a gang ended without a result, the stop of the others is
--- a/packages/cicadafold/src/cicadafold/ownership/recovered_tasks.py
+++ b/packages/cicadafold/src/cicadafold/ownership/recovered_tasks.py
@@ -192,7 +192,7 @@
                     reason=rack_requests.EndReason.NOT_STARTED
                 )
                 request.ends[task_id] = (task, end)
-        completion.collect(self.owner, request)
+        completion.complete_if_ended(self.owner, request)
 
 
 def end_of(report):
--- a/packages/cicadafold/src/cicadafold/platform/http_adapters.py
+++ b/packages/cicadafold/src/cicadafold/platform/http_adapters.py
@@ -116,7 +116,7 @@
                 return decode_hosts(await reply.read()).hosts
         except (*TRANSPORT_ERRORS, msgspec.DecodeError) as error:
             raise exception.TargetUnreachable(
-                message=f"The host list did not answer: {error!r}.",
+                message=f"The host list service did not answer: {error!r}.",
                 sent=True,
             ) from error
 
