--- a/packages/cicadafold-standins/src/cicadafold_standins/callers.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/callers.py
@@ -163,7 +163,7 @@
 
         The pause is in seconds.
         """
-        asked = messages.SubmitRequest(
+        request = messages.SubmitRequest(
             request_id=record.request_id,
             kind=record.kind,
             team=team,
@@ -171,7 +171,7 @@
             attempt=record.attempts,
             origin=self.region,
         )
-        body = msgspec.json.encode(asked)
+        body = msgspec.json.encode(request)
         try:
             async with self.session.post(self.url, data=body) as reply:
                 content = await reply.read()
--- a/packages/cicadafold-standins/src/cicadafold_standins/fakes.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fakes.py
@@ -170,8 +170,8 @@
         for task_id in request.tasks:
             if task_id in self.leases:
                 self.leases[task_id] = request.until_ms
-        found = [self.tasks[t] for t in request.tasks if t in self.tasks]
-        return self.reply(found)
+        reports = [self.tasks[t] for t in request.tasks if t in self.tasks]
+        return self.reply(reports)
 
     async def stop(self, task_id):
         self.check_reachable()
--- a/packages/cicadafold-standins/src/cicadafold_standins/processes.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/processes.py
@@ -144,14 +144,14 @@
         A run attempt that was cut off by a kill ends at the time of the
         kill.
         """
-        found = []
+        records = []
         for path in self.record_paths:
             killed_s = self.killed_s.get(path, 0.0)
             for record in worker_standin.read_records(path):
                 if not record.ended_s:
                     record.ended_s = killed_s
-                found.append(record)
-        return found
+                records.append(record)
+        return records
 
 
 def run(main):
--- a/packages/cicadafold-standins/src/cicadafold_standins/prove.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/prove.py
@@ -166,15 +166,15 @@
     def check_records(self, result, groups, since_s):
         """Compares the callers' answers with the workers' run records."""
         records = [record for group in groups for record in group.records]
-        found = checker.check_records(
+        checked = checker.check_records(
             records,
             self.cell.worker_records(),
             self.cell.plan.kinds,
             since_s=since_s,
         )
         result.requests = len(records)
-        result.kinds = found.kinds
-        result.violations = found.violations
+        result.kinds = checked.kinds
+        result.violations = checked.violations
         if all(name in PLANNED_STOPS for name in result.faults):
             self.check_planned_stop(result, records)
 
@@ -206,16 +206,16 @@
                 )
         end_s = time.monotonic() + CONFIGURATION_BOUND_S
         while True:
-            shown = await self.fetch_revisions()
-            agreed = len(set(shown.values())) == 1
-            kept = min(shown.values()) >= self.revision
-            if agreed and kept:
-                self.revision = max(shown.values())
+            revisions = await self.fetch_revisions()
+            equal = len(set(revisions.values())) == 1
+            not_older = min(revisions.values()) >= self.revision
+            if equal and not_older:
+                self.revision = max(revisions.values())
                 return
             if time.monotonic() > end_s:
                 text = (
-                    f"entry hosts show revisions {shown}, expected a single"
-                    f" revision of at least {self.revision}"
+                    f"entry hosts show revisions {revisions}, expected "
+                    f"a single one of at least {self.revision}"
                 )
                 result.violations.append(
                     checker.Violation(
@@ -227,13 +227,15 @@
 
     async def fetch_revisions(self):
         """Returns the configuration revision in force, by entry host."""
-        shown = {}
+        revisions = {}
         for entry in self.cell.running_entry_hosts():
             body = await self.cell.get(entry.address, "/v1/configuration")
             if body is not None:
-                found = msgspec.json.decode(body, type=messages.Configuration)
-                shown[entry.name] = found.revision
-        return shown
+                configuration = msgspec.json.decode(
+                    body, type=messages.Configuration
+                )
+                revisions[entry.name] = configuration.revision
+        return revisions
 
 
 def print_round(result):
@@ -256,12 +258,12 @@
     """Prints a line for each combination of guarantee and fault."""
     tries = collections.Counter()
     broken = collections.defaultdict(list)
-    for found in rounds:
-        hit = {violation.guarantee for violation in found.violations}
-        for name, guarantee in itertools.product(found.faults, Guarantee):
+    for result in rounds:
+        violated = {violation.guarantee for violation in result.violations}
+        for name, guarantee in itertools.product(result.faults, Guarantee):
             tries[(guarantee, name)] += 1
-            if guarantee in hit:
-                broken[(guarantee, name)].append(found.seed)
+            if guarantee in violated:
+                broken[(guarantee, name)].append(result.seed)
     for (guarantee, name), count in sorted(
         tries.items(), key=lambda item: (item[0][0].name, item[0][1])
     ):
@@ -305,8 +307,8 @@
     parser.add_argument("faults", nargs="*", choices=[[], *faults.FAULTS])
     arguments = parser.parse_args()
     rounds = processes.run(prove(arguments))
-    broken = sum(bool(found.violations) for found in rounds)
-    requests = sum(found.requests for found in rounds)
+    broken = sum(bool(result.violations) for result in rounds)
+    requests = sum(result.requests for result in rounds)
     print(
         f"{len(rounds)} rounds, {requests} requests, "
         f"{len(rounds) - broken} held, {broken} BROKEN"
--- a/packages/cicadafold-standins/src/cicadafold_standins/testcell.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/testcell.py
@@ -129,12 +129,15 @@
         for domain, count in self.layout.entries.items():
             for _ in range(count):
                 self.add_entry_host(domain)
-        placed = [(self.log_address, first), (self.host_list_address, first)]
-        placed += [(h.address, h.failure_domain) for h in self.hosts]
-        placed += [(e.address, e.domain) for e in self.entries.values()]
+        locations = [
+            (self.log_address, first),
+            (self.host_list_address, first),
+        ]
+        locations += [(h.address, h.failure_domain) for h in self.hosts]
+        locations += [(e.address, e.domain) for e in self.entries.values()]
         for source in domains:
             self.address_maps[source] = {}
-            for address, domain in placed:
+            for address, domain in locations:
                 self.add_route(source, domain, address)
         for region in sorted(set(self.layout.regions.values())):
             self.add_balancer(region)
@@ -213,21 +216,21 @@
         if name not in self.links:
             regions = self.layout.regions
             pair = (regions[source], regions[domain])
-            crosses = pair[0] != pair[1]
+            between_regions = pair[0] != pair[1]
             delay_ms = self.plan.domain_delay_ms
-            if crosses:
+            if between_regions:
                 delay_ms = self.plan.region_delay_ms
             up, down = f"{pair[0]}>{pair[1]}", f"{pair[1]}>{pair[0]}"
-            self.add_pool(up, crosses)
-            self.add_pool(down, crosses)
+            self.add_pool(up, between_regions)
+            self.add_pool(down, between_regions)
             self.links[name] = proxy.LinkSettings(
                 name=name, up=up, down=down, delay_ms=delay_ms
             )
         return name
 
-    def add_pool(self, name, crosses):
+    def add_pool(self, name, between_regions):
         """Adds the bandwidth limit of one direction; 0 means no limit."""
-        rate = cells.REGION_LINK_BITS_PER_S if crosses else 0
+        rate = cells.REGION_LINK_BITS_PER_S if between_regions else 0
         self.pools[name] = proxy.PoolSettings(
             name=name, bandwidth_bits_per_s=rate
         )
@@ -243,10 +246,15 @@
             delay_ms=self.plan.caller_delay_ms if self.layout.proxied else 0,
         )
         listen = self.free_address()
-        near = [e.address for e in self.entries.values() if e.region == region]
+        entry_addresses = [
+            e.address for e in self.entries.values() if e.region == region
+        ]
         self.routes.append(
             proxy.Route(
-                listen=listen, destinations=near, link=name, balance=True
+                listen=listen,
+                destinations=entry_addresses,
+                link=name,
+                balance=True,
             )
         )
         self.balancers[region] = listen
@@ -434,10 +442,10 @@
 
         async def all_owned():
             for entry in self.running_entry_hosts():
-                shown = await self.fetch_cell(entry)
-                if shown is None or not shown.racks:
+                state = await self.fetch_cell(entry)
+                if state is None or not state.racks:
                     return False
-                if not all(r.owner and r.free_slots for r in shown.racks):
+                if not all(r.owner and r.free_slots for r in state.racks):
                     return False
             return True
 
@@ -450,10 +458,10 @@
     async def owner_of(self, rack):
         """Returns the entry host that owns a rack, or None if unknown."""
         for entry in self.running_entry_hosts():
-            shown = await self.fetch_cell(entry)
-            if shown is None:
+            state = await self.fetch_cell(entry)
+            if state is None:
                 continue
-            for row in shown.racks:
+            for row in state.racks:
                 if row.name == rack and row.owner in self.entries:
                     return self.entries[row.owner]
         return None
@@ -484,8 +492,8 @@
 
     async def set_link_mode(self, prefix, mode):
         """Sets the mode of the links whose names start with a prefix."""
-        asked = proxy.FaultRequest(prefix=prefix, mode=mode)
-        await self.post(self.proxy_control_address, "/faults", asked)
+        request = proxy.FaultRequest(prefix=prefix, mode=mode)
+        await self.post(self.proxy_control_address, "/faults", request)
 
     async def publish_hosts(self, *, lag_s=0.5, hosts=None):
         """Publishes a host list, by default with all workers.
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_calls.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_calls.py
@@ -49,8 +49,8 @@
     """Returns the run attempts of a single-task request on all workers."""
     return [
         run
-        for found in running_cell.cell.worker_records().values()
-        for run in found
+        for runs in running_cell.cell.worker_records().values()
+        for run in runs
         if run.task_id == request_id and not run.given_twice
     ]
 
@@ -163,8 +163,8 @@
         await asyncio.sleep(3.0)
 
     running_cell.run(sleep_beyond_the_lease())
-    found = runs_of(running_cell, request_id)
-    assert [run.ended_s for run in found] == [0.0]
+    runs = runs_of(running_cell, request_id)
+    assert [run.ended_s for run in runs] == [0.0]
     path = f"/v1/requests/{request_id}/cancel"
     status, answer = decode_reply(*running_cell.post(path, {}, index=1))
     assert (status, answer.outcome) == (200, Outcome.cancelled)
@@ -176,8 +176,8 @@
     _, answer = submit(running_cell, request_id=request_id)
     for index in range(3):
         path = f"/v1/requests/{request_id}/explain"
-        found = get(running_cell, path, messages.Explanation, index)
-        text = " ".join(event.text for event in found.events)
+        explanation = get(running_cell, path, messages.Explanation, index)
+        text = " ".join(event.text for event in explanation.events)
         assert answer.worker in text and "best_fit" in text
 
 
@@ -336,7 +336,7 @@
     """
 
     async def statuses():
-        found = {}
+        replies = {}
         async with aiohttp.ClientSession() as session:
             for path, item in SCHEMA["paths"].items():
                 for method in item:
@@ -346,8 +346,8 @@
                     url = f"http://{running_cell.address()}{url}"
                     async with session.request(method, url) as reply:
                         body = await reply.read()
-                        found[(method, path)] = (reply.status, body)
-        return found
+                        replies[(method, path)] = (reply.status, body)
+        return replies
 
     for (method, path), (status, body) in running_cell.run(statuses()).items():
         responses = SCHEMA["paths"][path][method]["responses"]
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_recovery.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_recovery.py
@@ -44,7 +44,7 @@
                 for seed, faults in enumerate(chosen, start=1000)
             ]
 
-    return {found.faults: found for found in uvloop.run(run())}
+    return {result.faults: result for result in uvloop.run(run())}
 
 
 @pytest.mark.parametrize(
@@ -57,9 +57,9 @@
     ],
 )
 def test_guarantees_hold_under_faults(round_results, faults):
-    found = round_results[faults]
-    assert found.requests > 50
-    assert found.violations == []
+    result = round_results[faults]
+    assert result.requests > 50
+    assert result.violations == []
 
 
 @pytest.fixture(scope="module")
@@ -119,9 +119,9 @@
             )
             return await injection.run(2001, ["drain-owner"])
 
-    found = uvloop.run(run())
+    result = uvloop.run(run())
     assert prove.Guarantee.GRACEFUL_STOP in {
-        p.guarantee for p in found.violations
+        p.guarantee for p in result.violations
     }
 
 
@@ -175,8 +175,8 @@
             again = await submit(cell, "a", "cutting_sheet")
             runs = [
                 run
-                for found in cell.worker_records().values()
-                for run in found
+                for worker_runs in cell.worker_records().values()
+                for run in worker_runs
                 if run.task_id == "a"
             ]
             return first, again, runs
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_security.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_security.py
@@ -100,7 +100,7 @@
     """Makes calls with each token; returns their statuses and the log."""
     entry = next(iter(cell.entries.values()))
     context = ssl.create_default_context(cafile=str(cell.certificate))
-    found = {}
+    results = {}
     async with aiohttp.ClientSession() as session:
         for name in ("none", "wrong", *TOKENS):
             token = TOKENS.get(name, "guess")
@@ -110,13 +110,13 @@
             for path in ("/v1/configuration", "/v1/cell", "/peer/burn"):
                 url = f"http://{entry.address}{path}"
                 async with session.get(url, headers=headers) as reply:
-                    found[(name, path)] = reply.status
+                    results[(name, path)] = reply.status
         url = f"https://{entry.tls_address}/v1/configuration"
         headers = {"Authorization": f"Bearer {TOKENS['caller_token']}"}
         async with session.get(url, headers=headers, ssl=context) as reply:
-            found["tls"] = reply.status
-    found["log"] = entry.log_path.read_text()
-    return found
+            results["tls"] = reply.status
+    results["log"] = entry.log_path.read_text()
+    return results
 
 
 @pytest.mark.parametrize(
