--- a/packages/cicadafold/src/cicadafold/daemon/cell_node.py
+++ b/packages/cicadafold/src/cicadafold/daemon/cell_node.py
@@ -210,7 +210,9 @@
         try:
             await term.run()
         except Exception as error:
-            LOG.exception("The term failed: %s", error)
+            LOG.exception(
+                "The term failed; this process no longer serves it: %s", error
+            )
         finally:
             announce_task.cancel()
             if self.term is term:
--- a/packages/cicadafold/src/cicadafold/daemon/draining.py
+++ b/packages/cicadafold/src/cicadafold/daemon/draining.py
@@ -26,7 +26,10 @@
     Args:
         node: ``Node`` of the process that stops.
     """
-    LOG.info("The drain has started.")
+    LOG.info(
+        "Draining the process: handing over its racks and finishing its "
+        "requests."
+    )
     node.view.draining = True
     node.rack_claimer.draining = True
     loop = asyncio.get_running_loop()
@@ -37,7 +40,7 @@
     node.coordinator.release_waiters()
     await asyncio.sleep(POLL_S)
     await leave(node)
-    LOG.info("The drain has ended.")
+    LOG.info("The drain has ended; the process stops.")
 
 
 def is_busy(node):
--- a/packages/cicadafold/src/cicadafold/daemon/supervision.py
+++ b/packages/cicadafold/src/cicadafold/daemon/supervision.py
@@ -74,7 +74,12 @@
                 await child.run()
                 return
             except Exception as error:
-                LOG.exception("Task %s failed: %s", child.name, error)
+                LOG.exception(
+                    "Task %s failed; it is restarted unless it has failed "
+                    "too often: %s",
+                    child.name,
+                    error,
+                )
             now_s = loop.time()
             child.restarts.append(now_s)
             recent = [
--- a/packages/cicadafold/src/cicadafold/dispatch/inherited_runs.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/inherited_runs.py
@@ -120,7 +120,7 @@
         return silent_ms >= MIN_SILENCE_MS
 
     def on_worker_answered(self, name):
-        """Lets the tasks that a worker was recorded with be started again.
+        """Clears the earliest start time of the tasks recorded for a worker.
 
         The inventory of the worker now lists which of them it still runs.
 
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_events.py
@@ -175,7 +175,9 @@
         return self.job_table.journal.record_job(job)
 
     def on_lasting_task_end(self, task):
-        """Lets a task that runs until it is cancelled start again.
+        """Delays the restart of a task that runs until it is cancelled.
+
+        The task can be started again after ``RESTART_PAUSE_MS``.
 
         Returns:
             0, as the end needs no record.
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_link.py
@@ -216,7 +216,13 @@
             self.events.on_capacity_changed()
 
     def on_inventory(self, inventory, sent_ms):
-        """Applies an inventory that was requested at ``sent_ms``."""
+        """Applies an inventory of the worker.
+
+        Args:
+            inventory: Inventory that the worker has sent.
+            sent_ms: Monotonic time at which the inventory was requested, in
+                milliseconds.
+        """
         worker = self.worker
         now_ms = clock.monotonic_ms()
         if worker.silent_since_ms is not None:
@@ -246,7 +252,8 @@
         Args:
             inventory: First inventory of the new incarnation.
             listed: Task names and attempts in the inventory.
-            sent_ms: Monotonic time of its request, in milliseconds.
+            sent_ms: Monotonic time at which the inventory was requested, in
+                milliseconds.
         """
         worker = self.worker
         LOG.warning(
@@ -368,7 +375,8 @@
             )
         except exception.TargetUnreachable as error:
             LOG.warning(
-                "A start command was not answered: %s",
+                "A start command was not answered; its run attempt is stopped "
+                "or removed unless the worker has listed it: %s",
                 error,
                 fields=runs.run_log_fields(run),
             )
@@ -383,7 +391,7 @@
                 self.schedule_stop(run)
             return result
         LOG.info(
-            "A start command was refused: %s.",
+            "A worker refused the start command of a run attempt: %s.",
             result.value,
             fields=runs.run_log_fields(run),
         )
@@ -437,7 +445,7 @@
                 run.name, run.attempt, timeout_s=COMMAND_TIMEOUT_S
             )
         except exception.TargetUnreachable as error:
-            LOG.debug("A stop command was not answered: %s", error)
+            LOG.debug("A stop command was not answered, retrying: %s", error)
             return False
         if result is Result.FENCED:
             self.events.on_fenced(self.worker)
--- a/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
+++ b/packages/cicadafold/src/cicadafold/dispatch/worker_table.py
@@ -120,7 +120,7 @@
         self.links[report.id] = link
         self.changed = True
         LOG.info(
-            "A worker was added.",
+            "A worker was added to the workers of the term.",
             fields={"worker": report.id, "pool": report.pool},
         )
         if self.started:
--- a/packages/cicadafold/src/cicadafold/peers/directory.py
+++ b/packages/cicadafold/src/cicadafold/peers/directory.py
@@ -106,7 +106,11 @@
                     if response.status == HTTP_OK:
                         return
             except (aiohttp.ClientError, OSError, TimeoutError) as error:
-                LOG.debug("Could not announce a claim to a process: %r", error)
+                LOG.debug(
+                    "Could not announce a claim to a process; it is no longer "
+                    "notified after repeated failures: %r",
+                    error,
+                )
             await asyncio.sleep(RETRY_PAUSE_S)
         self.addresses.discard(address)
         self.preferred.discard(address)
@@ -138,7 +142,8 @@
                         return True
             except (aiohttp.ClientError, OSError, TimeoutError) as error:
                 LOG.info(
-                    "A preferred host did not answer a takeover request: %r",
+                    "A preferred host did not answer a takeover request; "
+                    "asking the next one, if any: %r",
                     error,
                 )
         return False
--- a/packages/cicadafold/src/cicadafold/peers/scheduler_link.py
+++ b/packages/cicadafold/src/cicadafold/peers/scheduler_link.py
@@ -95,7 +95,9 @@
                     max_msg_size=MAX_MESSAGE_BYTES,
                 )
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            LOG.debug("Could not connect to the scheduler: %r", error)
+            LOG.debug(
+                "Could not connect to the scheduler, retrying: %r", error
+            )
             cause = getattr(error, "os_error", error)
             self.refused = isinstance(cause, ConnectionRefusedError)
             return
@@ -119,7 +121,9 @@
             )
             await link.serve()
         except exception.CicadafoldError as error:
-            LOG.debug("The link to the scheduler failed: %s", error)
+            LOG.debug(
+                "The link to the scheduler failed, closing it: %s", error
+            )
         finally:
             if self.link is link:
                 LOG.warning(
--- a/packages/cicadafold/src/cicadafold/platform/job_server.py
+++ b/packages/cicadafold/src/cicadafold/platform/job_server.py
@@ -58,7 +58,8 @@
         )
         if answer.status >= 400 and answer.status != 410:
             LOG.info(
-                "A call was refused with status %s.",
+                "A job call was refused or failed; the caller was answered "
+                "with status %s.",
                 answer.status,
                 fields={
                     "request_id": request.path.rpartition("/")[2],
