--- a/packages/cicadafold-standins/src/cicadafold_standins/capacity.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/capacity.py
@@ -114,7 +114,7 @@
 
 
 async def fit_member_costs():
-    """Returns the lines of idle members, at 3 to 24 members."""
+    """Returns the cost lines of idle members, for 3 to 24 members."""
     shares, memory_mb, rates = [], [], []
     for count in MEMBER_COUNTS:
         share, megabytes, rate = await measure_idle_members(count)
@@ -134,7 +134,7 @@
 
 
 async def fit_worker_costs():
-    """Returns the lines of routing and rack owners, at 24 to 3,400 workers."""
+    """Returns the cost lines of routing and owners, 24 to 3,400 workers."""
     route_times_us, placement_times_us, memory_mb = [], [], []
     claimer_passes_ms, lists, sizes = [], [], []
     for count in WORKER_COUNTS:
@@ -172,7 +172,7 @@
 
 
 def fit_request_costs():
-    """Returns the lines of open requests, at 1,000 to 91,000 requests."""
+    """Returns the cost lines of 1,000 to 91,000 open requests."""
     rack_requests_mb, control_state_mb, apply_times_us, snapshot_sizes_mb = (
         [],
         [],
@@ -207,7 +207,7 @@
 
 
 def fit_team_costs():
-    """Returns the lines of fair queueing, at 10 to 540 teams."""
+    """Returns the cost lines of fair queueing, for 10 to 540 teams."""
     serve_times_us, sizes = [], []
     for count in TEAM_COUNTS:
         serve_times_us.append((count, state_costs.measure_fair_queue(count)))
@@ -222,7 +222,7 @@
 
 
 def fit_renewal_size():
-    """Returns the line of a renewal's size against the leases it renews."""
+    """Returns the line of a renewal's size by number of renewed leases."""
     sizes = []
     for count in (1, 27):
         request = platform.RenewRequest(
--- a/packages/cicadafold-standins/src/cicadafold_standins/fakes.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fakes.py
@@ -103,7 +103,7 @@
             raise exception.TargetUnreachable(message="silent", sent=True)
 
     def restart(self):
-        """Begins a new incarnation without tasks and leases."""
+        """Starts a new incarnation without tasks and leases."""
         self.epoch += "x"
         self.booted_ms = self.now_ms()
         self.tasks = {}
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/cell.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/cell.py
@@ -144,7 +144,7 @@
         return f"127.0.0.1:{port}"
 
     async def register_workers(self):
-        """Renews the registry entry of each worker that is not silent."""
+        """Periodically renews the registry entries of workers not silent."""
         while True:
             for each in self.workers:
                 if not each.silent:
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/demo.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/demo.py
@@ -1,8 +1,8 @@
 """Demo of a cell on stand-ins for the users' platform.
 
 Submits jobs, kills the process with the scheduler once and stops it once,
-then checks that no job is lost, no task is done twice, and no worker gets
-more tasks than fit its capacity.
+then checks that no job is lost, no task ends as done twice, and no worker
+gets more tasks than its capacity allows.
 """
 
 import asyncio
@@ -86,7 +86,7 @@
 
 
 def tasks_done_twice(fleet_cell):
-    """Returns the tasks with more than one end as done."""
+    """Returns the tasks that ended as done more than once."""
     done = [task for worker in fleet_cell.workers for task in worker.done]
     return [task for task in set(done) if done.count(task) > 1]
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/load.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/load.py
@@ -34,9 +34,9 @@
 
     @property
     def min_done(self):
-        """Least number of ends as done of a step that is done.
+        """Least number of tasks that ended as done in a completed step.
 
-        The end of one task as done completes a whole gang.
+        A gang is completed as soon as one of its tasks has ended as done.
         """
         return 1 if self.gang else self.tasks
 
@@ -71,7 +71,7 @@
 
     @property
     def min_done(self):
-        """Least number of ends as done of a completed job."""
+        """Least number of tasks that ended as done in a completed job."""
         per_occurrence = sum(step.min_done for step in self.steps)
         return per_occurrence * max(1, self.repeats)
 
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/soak.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/soak.py
@@ -33,7 +33,7 @@
 STALE_STATE_S = 3.0
 FINAL_STATES = ("completed", "failed", "cancelled")
 CANCEL_SHARE = 0.1
-# Limit for leases to lapse and jobs to end after all faults are healed.
+# Time limit for leases to lapse and jobs to end after all faults are healed.
 RECOVERY_TIMEOUT_S = 45.0
 # Time for the last run attempts to stop after all jobs have ended.
 LAST_RUNS_END_S = 5.0
@@ -145,7 +145,7 @@
     Attributes:
         accepted: Jobs that were accepted, by identifier.
         sent: Jobs that were submitted, by identifier.
-        refused: Identifiers of jobs of which every call was refused.
+        refused: Identifiers of jobs of which every submission was refused.
         cancelled: Identifiers of jobs whose cancellation was acknowledged.
         violations: Violations of the guarantees, as sentences.
         busy: Names of processes to which a fault is being applied.
@@ -239,7 +239,7 @@
 
         Refused and unconfirmed calls are repeated, at most
         MAX_CALLS_PER_JOB times. The job counts as refused only if every call
-        was certainly refused.
+        was answered with 429 or 503, or made no connection.
         """
         job = load.generate_job(self.rng, cancel_share=CANCEL_SHARE)
         self.sent[job_id] = job
@@ -258,7 +258,11 @@
             self.refused.add(job_id)
 
     async def cancel(self, job_id):
-        """Repeats the cancellation of a job until it is acknowledged."""
+        """Cancels a job.
+
+        The call is repeated until it is acknowledged, at most
+        MAX_CALLS_PER_JOB times.
+        """
         for _ in range(MAX_CALLS_PER_JOB):
             if await self.call("DELETE", job_id) in (200, 410):
                 self.cancelled.add(job_id)
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/store.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/store.py
@@ -101,7 +101,7 @@
 
     @web.middleware
     async def apply_faults(self, request, handler):
-        """Leaves calls unanswered or refuses them, as the faults say."""
+        """Leaves calls unanswered or refuses them, as the faults require."""
         if self.silent:
             await asyncio.sleep(3600)
         if self.refusing or request.remote in self.refused_hosts:
@@ -113,7 +113,7 @@
         return self.partitions.setdefault((topic, int(number)), Partition())
 
     def put(self, topic, key, value, part=0):
-        """Appends the value of a key without a call, as other writers do."""
+        """Appends a keyed record directly, as if another writer called."""
         name = key.encode()
         record = bytes((len(name),)) + name + value
         self.partition(topic, part).add(record)
--- a/packages/cicadafold-standins/src/cicadafold_standins/fleet/worker.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/fleet/worker.py
@@ -192,7 +192,7 @@
             )
 
     async def start(self, request):
-        """Handles a start command; a refusal is 409 with its reason."""
+        """Handles a start command; refuses it with 409 and the reason."""
         message = await request.json()
         if self.late_start_delay_s is not None:
             delay_s, self.late_start_delay_s = self.late_start_delay_s, None
@@ -263,8 +263,8 @@
         """Handles a renewal of the lease.
 
         Drops the ends that the scheduler has acknowledged. Returns the
-        running attempts and the unacknowledged ends; if there are none of
-        the latter, waits for an end up to the time in the request.
+        running attempts and the unacknowledged ends. If there are no such
+        ends, waits for the next one, at most for ``waitMs`` of the request.
         """
         message = await request.json()
         if message["fence"] < self.fence:
--- a/packages/cicadafold-standins/src/cicadafold_standins/host_list.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/host_list.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's list of workers, which lags behind.
+"""Stand-in for the platform's host list service, which lags behind.
 
 ``POST /hosts`` replaces the list; readers see the new one after a delay.
 """
--- a/packages/cicadafold-standins/src/cicadafold_standins/load.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/load.py
@@ -62,7 +62,7 @@
         mix: Kinds of requests with their rates.
         seed: Seed of the arrival times and run times.
         duration_s: Length of the load in seconds.
-        patience_s: How long a caller repeats a request, in seconds.
+        patience_s: Time for which a caller repeats a request, in seconds.
         label: Start of the request ids, so that two loads with one seed do
             not share ids.
     """
--- a/packages/cicadafold-standins/src/cicadafold_standins/outage.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/outage.py
@@ -1,4 +1,4 @@
-"""Measures how urgent requests fare in a long outage of the log service."""
+"""Measures urgent requests done in a long outage of the log service."""
 
 import argparse
 import asyncio
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/cell.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/cell.py
@@ -38,7 +38,7 @@
 
     Attributes:
         host: Simulated host that runs it.
-        node: The product's parts of the process, None until they are made.
+        node: ``CellNode`` of the process, None until it is created.
         returncode: Exit code, None until the process is killed.
     """
 
@@ -50,7 +50,7 @@
         self.returncode = None
 
     async def run(self, settings):
-        """Runs the parts of the process until it is killed."""
+        """Runs the ``CellNode`` of the process until the process is killed."""
         self.node = node = cell_node.CellNode(
             settings=settings,
             make_session=lambda limit: network_module.Session(
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/explore.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/explore.py
@@ -63,8 +63,7 @@
 async def delay_calls(soak):
     """Delivers some calls late and without an answer.
 
-    That concerns the fraction LATE_CALL_SHARE of all calls that are made
-    within up to 3 s.
+    For up to 3 s, the fraction LATE_CALL_SHARE of all calls is affected.
     """
     network = soak.cell.network
     network.late_call_share = LATE_CALL_SHARE
@@ -99,7 +98,7 @@
 
 @fault("kill all")
 async def kill_all_members(soak):
-    """Kills all processes without a fault at once and starts them again."""
+    """Kills all processes that are not busy, and starts them again."""
     names = sorted(set(soak.cell.members) - soak.busy)
     soak.busy.update(names)
     for name in names:
@@ -156,13 +155,13 @@
             self.counts["starts"] += len(worker.starts)
 
 
-def explore(seed, seconds, *, late_in_new_lives=False):
+def explore(seed, seconds, *, late_across_incarnations=False):
     """Runs one seed in virtual time.
 
     Args:
         seed: Seed of all random choices.
         seconds: Duration of load and faults in virtual time.
-        late_in_new_lives: Whether a late call is delivered even if
+        late_across_incarnations: Whether a late call is delivered even if
             its worker has been restarted since it was sent.
 
     Returns:
@@ -177,7 +176,9 @@
             work_ms=WORK_MS,
             with_advice=rng.random() < 0.5,
         ) as fleet_cell:
-            fleet_cell.network.late_across_incarnations = late_in_new_lives
+            fleet_cell.network.late_across_incarnations = (
+                late_across_incarnations
+            )
             soak = soak_module.Soak(cell=fleet_cell, seed=seed, faults=FAULTS)
             await soak.run(seconds)
             return Report(soak=soak, fleet_cell=fleet_cell)
@@ -228,7 +229,7 @@
         report = explore(
             seed,
             arguments.seconds,
-            late_in_new_lives=arguments.late_in_new_lives,
+            late_across_incarnations=arguments.late_in_new_lives,
         )
         counts += report.counts
         failed += bool(report.violations)
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/network.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/network.py
@@ -189,8 +189,8 @@
     async def monitor_heartbeat(self, ends, source, target):
         """Closes a socket when its ends no longer reach each other.
 
-        That is at once when the host of an end is dead, and after
-        HEARTBEAT_TIMEOUT_S when a host is frozen or the hosts are cut off
+        It is closed at once if the host of an end is dead, and after
+        HEARTBEAT_TIMEOUT_S if a host is frozen or the hosts are cut off
         from each other.
         """
         silent_s = 0.0
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/mutants.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/tests/mutants.py
@@ -43,7 +43,7 @@
 
 @mutant
 def tasks_of_unread_jobs_are_stopped():
-    """Treats tasks of a job whose record is not read yet as of no job."""
+    """Treats tasks of jobs that are not read yet as belonging to no job."""
     job_table.JobTable.is_unknown = lambda self, name: False
 
 
@@ -57,7 +57,7 @@
 
 @mutant
 def workers_closed_to_starts_are_used():
-    """Starts tasks on workers whose record says that they get none."""
+    """Starts tasks on workers whose record closes them to starts."""
     runs.Worker.closed_to_starts = property(
         lambda self: False, lambda self, _: None
     )
@@ -151,10 +151,10 @@
 @mutant
 def resources_are_released_at_stop_answer():
     """Releases the resources of a run when its stop command is answered."""
-    stop_once = worker_link.WorkerLink.send_stop
+    send_stop = worker_link.WorkerLink.send_stop
 
     async def at_once(self, run):
-        settled = await stop_once(self, run)
+        settled = await send_stop(self, run)
         if settled:
             self.events.on_run_gone(self.worker, run, "stopped")
         return settled
--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/virtual_time.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/virtual_time.py
@@ -149,7 +149,7 @@
         return handle
 
     def call_at(self, when, callback, *args, context=None):
-        """Schedules a callback at a time, if its host runs then."""
+        """Schedules a callback at a time; it runs only if its host does."""
         context = contextvars.copy_context() if context is None else context
         host = context.get(CURRENT_HOST)
         if host is None:
--- a/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/state_costs.py
@@ -340,7 +340,7 @@
         count: Number of teams, each with four queued requests.
 
     Returns:
-        Elapsed time in microseconds to take the next request and charge
+        Elapsed time in microseconds to remove the next request and charge
         its team, p99.
     """
     kind = fakes.make_kind(lane=messages.Lane.patient)
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/conftest.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/conftest.py
@@ -14,7 +14,7 @@
 
 
 def add_kinds(plan):
-    """Adds two kinds that only tests use: a service and an unfitting one."""
+    """Adds two kinds for tests: a service, and one that fits no worker."""
     base = {
         "lane": messages.Lane.patient,
         "shape": messages.Shape.task,
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_calls.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Tests the calls for callers and operators against a running cell."""
+"""Tests of the calls for callers and operators on a running cell."""
 
 import asyncio
 import itertools
@@ -270,7 +270,7 @@
     assert (status, reply.error.code) == (422, Code.invalid)
 
 
-# Calls of the schema, most with bodies that do not match it.
+# Bodies for the calls of the schema; most of them do not match it.
 
 INVALID_BODIES = st.recursive(
     st.none()
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_recovery.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Tests guarantees and recovery under faults, with real processes.
+"""Tests of guarantees and recovery under faults, on real processes.
 
 The rounds are shorter than those of ``cicadafold_standins.prove``.
 """
--- a/packages/cicadafold-standins/src/cicadafold_standins/tests/test_security.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/tests/test_security.py
@@ -1,4 +1,4 @@
-"""Tests the tokens of each role and calls over TLS on a secured cell."""
+"""Tests of the tokens of each role, and of calls over TLS."""
 
 import ssl
 import subprocess
