--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/explore.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/explore.py
@@ -155,13 +155,13 @@
             self.counts["starts"] += len(worker.starts)
 
 
-def explore(seed, seconds, *, late_across_incarnations=False):
+def explore(seed, seconds, *, late_in_new_lives=False):
     """Runs one seed in virtual time.
 
     Args:
         seed: Seed of all random choices.
         seconds: Duration of load and faults in virtual time.
-        late_across_incarnations: Whether a late call is delivered even if
+        late_in_new_lives: Whether a late call is delivered even if
             its worker has been restarted since it was sent.
 
     Returns:
@@ -176,9 +176,7 @@
             work_ms=WORK_MS,
             with_advice=rng.random() < 0.5,
         ) as fleet_cell:
-            fleet_cell.network.late_across_incarnations = (
-                late_across_incarnations
-            )
+            fleet_cell.network.late_across_incarnations = late_in_new_lives
             soak = soak_module.Soak(cell=fleet_cell, seed=seed, faults=FAULTS)
             await soak.run(seconds)
             return Report(soak=soak, fleet_cell=fleet_cell)
@@ -229,7 +227,7 @@
         report = explore(
             seed,
             arguments.seconds,
-            late_across_incarnations=arguments.late_in_new_lives,
+            late_in_new_lives=arguments.late_in_new_lives,
         )
         counts += report.counts
         failed += bool(report.violations)
