--- a/packages/cicadafold-standins/src/cicadafold_standins/simulation/explore.py
+++ b/packages/cicadafold-standins/src/cicadafold_standins/simulation/explore.py
@@ -63,8 +63,7 @@
 async def delay_calls(soak):
     """Delivers some calls late and without an answer.
 
-    That concerns the fraction LATE_CALL_SHARE of all calls that are made
-    within up to 3 s.
+    For up to 3 s, the fraction LATE_CALL_SHARE of all calls is affected.
     """
     network = soak.cell.network
     network.late_call_share = LATE_CALL_SHARE
@@ -99,7 +98,7 @@
 
 @fault("kill all")
 async def kill_all_members(soak):
-    """Kills all processes without a fault at once and starts them again."""
+    """Kills all processes that are not busy, and starts them again."""
     names = sorted(set(soak.cell.members) - soak.busy)
     soak.busy.update(names)
     for name in names:
